--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -25,7 +25,7 @@
 from pearloom.rollout.evidence import Evidence, delays_of
 from pearloom.rollout.host import RolloutHost
 from pearloom.rules import head as steps
-from pearloom.rules.check import Known, faults
+from pearloom.rules.check import KnownNames, faults
 from pearloom.rules.head import HeadState, Request
 from pearloom.rules.host import RulesHost
 from pearloom.rules.records import FORMAT, Rule, RulesError, RuleSet, canonical
@@ -63,7 +63,7 @@
         rules: RulesHost,
         rollout: RolloutHost,
         settings: RolloutSettings,
-        known: Callable[[], Known],
+        known: Callable[[], KnownNames],
     ) -> None:
         """`known`: what rules may name at this moment."""
         self._link, self._member, self._rules, self._rollout = link, member, rules, rollout
--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -23,7 +23,7 @@
 from pearloom.maintenance.settings import MaintenanceSettings
 from pearloom.membership.host import MemberHost
 from pearloom.rollout.host import RolloutHost
-from pearloom.rules.check import Known
+from pearloom.rules.check import KnownNames
 from pearloom.rules.host import RulesHost
 from pearloom.rules.settings import RulesSettings
 from pearloom.rules.table import LocalContext
@@ -88,10 +88,10 @@
             cells[server.zone].add(server.entry.cell)
         return {zone: frozenset(held) for zone, held in cells.items() if zone}
 
-    def _known(self) -> Known:
+    def _known(self) -> KnownNames:
         zones = {*self._config.zone_names, *(one.zone for one in self._member.view.members if one.zone)}
         classes = self._config.settings.classes
-        return Known(
+        return KnownNames(
             tuple(self._config.class_names), tuple(self._config.tenant_names), tuple(sorted(zones)),
             tuple(kind.cells for kind in classes),
         )  # fmt: skip
--- a/pearloom/rules/check.py
+++ b/pearloom/rules/check.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownNames:
     """What there is to be named; `cells` of each class, empty: every cell."""
 
     classes: tuple[str, ...]
@@ -40,12 +40,12 @@
     cells: tuple[tuple[int, ...], ...] = ()
 
 
-def faults(rules: RuleSet, known: Known) -> list[str]:
+def faults(rules: RuleSet, known: KnownNames) -> list[str]:
     """Everything that is wrong, each in a line that begins with its path; empty: it can be accepted."""
     return list(_faults(rules, known))
 
 
-def _faults(rules: RuleSet, known: Known) -> Iterator[str]:
+def _faults(rules: RuleSet, known: KnownNames) -> Iterator[str]:
     if len(rules.rules) > MOST_RULES:
         yield f"$.rules: {len(rules.rules)} rules, {MOST_RULES} at most"
         return
@@ -66,14 +66,14 @@
         yield f"$.rules: {len(choices)} first choices named, {MOST_CHOICES} at most"
 
 
-def _match_faults(rule: Rule, path: str, known: Known) -> Iterator[str]:
+def _match_faults(rule: Rule, path: str, known: KnownNames) -> Iterator[str]:
     yield from _names(rule.match.classes, f"{path}.class", "class", known.classes)
     yield from _names(rule.match.tenant, f"{path}.tenant", "tenant", known.tenants)
     yield from _names(rule.match.zone, f"{path}.zone", "zone", known.zones)
     yield from _cells(rule.match.first_choice, f"{path}.first_choice")
 
 
-def _effect_faults(rule: Rule, path: str, known: Known) -> Iterator[str]:
+def _effect_faults(rule: Rule, path: str, known: KnownNames) -> Iterator[str]:
     effect = rule.effect
     yield from _names(effect.zones, f"{path}.zones", "zone", known.zones)
     if isinstance(effect, Spill):
@@ -91,7 +91,7 @@
         yield from _left_over(rule, effect, path, known)
 
 
-def _left_over(rule: Rule, effect: Only, path: str, known: Known) -> Iterator[str]:
+def _left_over(rule: Rule, effect: Only, path: str, known: KnownNames) -> Iterator[str]:
     for name, cells in zip(known.classes, known.cells, strict=False):
         named = not rule.match.classes or name in rule.match.classes
         if named and cells and not set(cells) & set(effect.cells):
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -12,7 +12,7 @@
 from pearloom import interface as api
 from pearloom.interface import ListKind, PoolEntry, PoolState, Route
 from pearloom.policy import Controller
-from pearloom.rules.check import MOST_CHOICES, Known, faults
+from pearloom.rules.check import MOST_CHOICES, KnownNames, faults
 from pearloom.rules.records import (
     MOST_CAPS,
     MOST_NAMES,
@@ -37,7 +37,7 @@
     ("open-form", "save-answers"), ("nour", "sahel"), "amsterdam",
     {"amsterdam": frozenset({0, 1}), "dublin": frozenset({2}), "lyon": frozenset({3})},
 )  # fmt: skip
-KNOWN = Known(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
+KNOWN = KnownNames(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
 
 
 def table(*effects: Effect, match: Match | None = None) -> Table:
