--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -25,7 +25,7 @@
 from pearloom.rollout.evidence import Evidence, delays_of
 from pearloom.rollout.host import RolloutHost
 from pearloom.rules import head as steps
-from pearloom.rules.check import KnownNames, faults
+from pearloom.rules.check import KnownNames, find_errors
 from pearloom.rules.head import HeadState, Request
 from pearloom.rules.host import RulesHost
 from pearloom.rules.records import FORMAT, Rule, RulesError, RuleSet, canonical
@@ -151,7 +151,7 @@
             return bad(wrong)
         if told.at_once and told.stages:
             return bad("$.stages: none where the rules are to be in force at once")
-        found = faults(rules, self._known())
+        found = find_errors(rules, self._known())
         if found:
             more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
             return bad(found[0] + more)
--- a/pearloom/rules/check.py
+++ b/pearloom/rules/check.py
@@ -40,7 +40,7 @@
     cells: tuple[tuple[int, ...], ...] = ()
 
 
-def faults(rules: RuleSet, known: KnownNames) -> list[str]:
+def find_errors(rules: RuleSet, known: KnownNames) -> list[str]:
     """Everything that is wrong, each in a line that begins with its path; empty: it can be accepted."""
     return list(_faults(rules, known))
 
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -12,7 +12,7 @@
 from pearloom import interface as api
 from pearloom.interface import ListKind, PoolEntry, PoolState, Route
 from pearloom.policy import Controller
-from pearloom.rules.check import MOST_CHOICES, KnownNames, faults
+from pearloom.rules.check import MOST_CHOICES, KnownNames, find_errors
 from pearloom.rules.records import (
     MOST_CAPS,
     MOST_NAMES,
@@ -132,15 +132,15 @@
     ],
 )  # fmt: skip
 def test_each_fault_is_told_with_its_path(made: list[Rule], told: str) -> None:
-    found = faults(RuleSet(rules=tuple(made)), KNOWN)
+    found = find_errors(RuleSet(rules=tuple(made)), KNOWN)
     assert any(told in line for line in found), found
     assert all(line.startswith("$.rules") for line in found), "each line begins with its path"
 
 
 def test_all_faults_are_told_and_sound_rules_have_none() -> None:
     two = RuleSet(rules=(rule(Weigh(0.0, ()), "a b"), rule(Prefer((1,)), tenant=("nour",))))
-    assert len(faults(two, KNOWN)) == 3
-    assert faults(RuleSet(rules=(rule(Only((0, 5))),)), KNOWN) == []
+    assert len(find_errors(two, KNOWN)) == 3
+    assert find_errors(RuleSet(rules=(rule(Only((0, 5))),)), KNOWN) == []
 
 
 def test_a_version_is_its_rules_whatever_their_spelling() -> None:
