--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -15,7 +15,7 @@
 from pearloom import interface as api
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from pearloom.policy import Controller
-from pearloom.rules.records import MOST_RULES, Avoid, Cap, Match, Prefer, Rule, RuleSet, Weigh
+from pearloom.rules.records import MAX_RULES, Avoid, Cap, Match, Prefer, Rule, RuleSet, Weigh
 from pearloom.rules.table import LocalContext, Table
 from tests.streams import SETTINGS
 
@@ -26,7 +26,7 @@
 def hundred() -> RuleSet:
     """As many as there may be, of all kinds, each matching some calls."""
     random, rules = Random(1), list[Rule]()
-    for at in range(MOST_RULES):
+    for at in range(MAX_RULES):
         cells = (random.randrange(5),)
         effect = (Prefer(cells), Avoid(cells), Weigh(1.5, cells))[at % 3] if at % 13 else Cap(0.9, cells)
         match = Match((random.choice(PLACE.classes),), first_choice=(random.randrange(5),))
@@ -56,7 +56,7 @@
 
 def main() -> None:
     """Print the median of the turns, one after the other so that a busy machine hits all alike."""
-    cases = {"no host": None, "no rules": RuleSet(), f"{MOST_RULES} rules": hundred()}
+    cases = {"no host": None, "no rules": RuleSet(), f"{MAX_RULES} rules": hundred()}
     took: dict[str, list[float]] = {name: [] for name in cases}
     for _ in range(TURNS):
         for name, rules in cases.items():
--- a/pearloom/rules/check.py
+++ b/pearloom/rules/check.py
@@ -13,9 +13,9 @@
 from difflib import get_close_matches
 
 from pearloom.rules.records import (
+    MAX_RULES,
     MOST_CAPS,
     MOST_NAMES,
-    MOST_RULES,
     Cap,
     Only,
     Rule,
@@ -46,8 +46,8 @@
 
 
 def _faults(rules: RuleSet, known: KnownNames) -> Iterator[str]:
-    if len(rules.rules) > MOST_RULES:
-        yield f"$.rules: {len(rules.rules)} rules, {MOST_RULES} at most"
+    if len(rules.rules) > MAX_RULES:
+        yield f"$.rules: {len(rules.rules)} rules, {MAX_RULES} at most"
         return
     doubled = {name for name, count in Counter(rule.name for rule in rules.rules).items() if count > 1}
     for at, rule in enumerate(rules.rules):
--- a/pearloom/rules/records.py
+++ b/pearloom/rules/records.py
@@ -16,7 +16,7 @@
 import rfc8785
 
 FORMAT = 1
-MOST_RULES = 100
+MAX_RULES = 100
 MOST_NAMES = 64  # in one list
 MOST_CAPS = 8  # in one set: each is counted for each call that it matches
 EMPTY = "none"  # the version before any was proposed: no rule
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -14,9 +14,9 @@
 from pearloom.policy import Controller
 from pearloom.rules.check import MOST_CHOICES, KnownNames, find_errors
 from pearloom.rules.records import (
+    MAX_RULES,
     MOST_CAPS,
     MOST_NAMES,
-    MOST_RULES,
     Avoid,
     Cap,
     Effect,
@@ -125,7 +125,7 @@
         ([rule(Spill(()))], "$.rules[0].effect.zones: an order of at least one zone"),
         ([rule(Only((5,)))], "effect.cells: leave the class 'save-answers' no cell that it may use"),
         ([rule(Prefer(tuple(range(MOST_NAMES + 1))))], f"{MOST_NAMES} at most"),
-        ([rule(Prefer((1,)), f"r{at}") for at in range(MOST_RULES + 1)], f"{MOST_RULES} at most"),
+        ([rule(Prefer((1,)), f"r{at}") for at in range(MAX_RULES + 1)], f"{MAX_RULES} at most"),
         ([rule(Cap(0.5, (1,)), f"r{at}") for at in range(MOST_CAPS + 1)], f"{MOST_CAPS} at most"),
         ([rule(Prefer((1,)), f"r{at}", first_choice=tuple(range(60 * at, 60 * at + 60))) for at in range(5)],
          f"{MOST_CHOICES} at most"),
