--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -238,8 +238,8 @@
 
 
 def _stages(told: tuple[float, ...]) -> str:
-    if len(told) > steps.MOST_STAGES or not all(0.0 <= share < 1.0 for share in told):
-        return f"$.stages: at most {steps.MOST_STAGES} shares from 0 (one softswitch) to below 1"
+    if len(told) > steps.MAX_STAGES or not all(0.0 <= share < 1.0 for share in told):
+        return f"$.stages: at most {steps.MAX_STAGES} shares from 0 (one softswitch) to below 1"
     return "" if list(told) == sorted(set(told)) else "$.stages: have to grow"
 
 
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -36,7 +36,7 @@
 HEAD, LOG, VERSIONS = "rules/head", "rules/log/", "rules/versions/"
 KEPT = 64  # entries of the log, and the versions that they and the head name
 MOST_MEMBERS = 2_000
-MOST_STAGES = 16
+MAX_STAGES = 16
 _VERSION = re.compile(rf"{EMPTY}|[0-9a-f]{{32}}")
 
 
@@ -182,7 +182,7 @@
         return True
     terms = rollout.terms
     return (
-        0 <= rollout.stage < len(rollout.stages) <= MOST_STAGES
+        0 <= rollout.stage < len(rollout.stages) <= MAX_STAGES
         and len(rollout.members) <= MOST_MEMBERS
         and min(terms.tell_ms, terms.look_ms, terms.evidence_ms, terms.silent_ms, terms.away_ms) >= 50.0
         and 0.0 < terms.rate < 1.0 <= terms.tolerance
--- a/pearloom/rules/settings.py
+++ b/pearloom/rules/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pearloom.records import Fields
-from pearloom.rules.head import MOST_STAGES, Terms
+from pearloom.rules.head import MAX_STAGES, Terms
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +33,8 @@
         0.0 if text == "one" else float(text)
         for text in fields.texts("stages", r"one|0\.[0-9]{1,3}", "'one' or a share below 1, as '0.25'")
     )
-    if list(stages) != sorted(set(stages)) or len(stages) > MOST_STAGES:
-        raise fields.error("stages", f"have to grow, and be {MOST_STAGES} at most")
+    if list(stages) != sorted(set(stages)) or len(stages) > MAX_STAGES:
+        raise fields.error("stages", f"have to grow, and be {MAX_STAGES} at most")
     stay = fields.text("halted", "back", "back|stay", "'back' or 'stay'") == "stay"
     terms = Terms(
         soak_ms=float(count("soak_ms", base.soak_ms, 100, 86_400_000)),
