--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -16,7 +16,7 @@
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from pearloom.policy import Controller
 from pearloom.rules.records import MAX_RULES, Avoid, Cap, Match, Prefer, Rule, RuleSet, Weigh
-from pearloom.rules.table import LocalContext, Table
+from pearloom.rules.table import LocalContext, RoutingTable
 from tests.streams import SETTINGS
 
 CALLS, TURNS = 4_000, 15
@@ -34,7 +34,7 @@
     return RuleSet(rules=tuple(rules))
 
 
-def turn(table: Table | None) -> float:
+def turn(table: RoutingTable | None) -> float:
     """Microseconds a call: arrival, its attempt, and its end."""
     random, controller = Random(2), Controller(SETTINGS, 1)
     entries = tuple(PoolEntry(f"s-{cell}", cell, PoolState.READY) for cell in range(5))
@@ -60,7 +60,7 @@
     took: dict[str, list[float]] = {name: [] for name in cases}
     for _ in range(TURNS):
         for name, rules in cases.items():
-            took[name].append(turn(None if rules is None else Table("v", rules, PLACE)))
+            took[name].append(turn(None if rules is None else RoutingTable("v", rules, PLACE)))
     shown = Shown("rules", "us a call, median", "least", "more than without")
     base = statistics.median(took["no host"])
     for name, times in took.items():
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -23,7 +23,7 @@
 from pearloom.rules.records import EMPTY, RuleSet
 from pearloom.rules.settings import RulesSettings
 from pearloom.rules.snapshots import SnapshotStore
-from pearloom.rules.table import LocalContext, Table
+from pearloom.rules.table import LocalContext, RoutingTable
 
 SHELVE_AGAIN_S = 0.05  # between two writes at least
 Tallied = Callable[[str, int, int, End, float], None]  # version, mark, class, end, ms since the arrival
@@ -46,7 +46,7 @@
         self.context, self._listed, self._settings = context, listed, settings
         self._snapshots = SnapshotStore(settings.snapshot)
         self._kept: dict[str, RuleSet] = {EMPTY: RuleSet()}
-        self._table = Table(EMPTY, RuleSet(), context)
+        self._table = RoutingTable(EMPTY, RuleSet(), context)
         self.seen: Head | None = None  # the newest head that was ever obeyed here
         self.left = 0  # the rollout that this softswitch left by itself
         self._mod = -1  # the head's revision, as last read
@@ -172,7 +172,7 @@
         if version != self._table.version:
             self._counters.add("rules_changed")
             note(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
-        self._table = Table(version, rules, replace(self.context, cells=self._listed()))
+        self._table = RoutingTable(version, rules, replace(self.context, cells=self._listed()))
         for told in self.on_obeyed:
             told()
 
@@ -182,7 +182,7 @@
         if cells != self.context.cells:
             self.context = replace(self.context, cells=cells)
             if self._table.version != EMPTY:
-                self._table = Table(self._table.version, self._kept[self._table.version], self.context)
+                self._table = RoutingTable(self._table.version, self._kept[self._table.version], self.context)
 
     def leave(self, rollout: int) -> None:
         """Go back by itself from a version that is being rolled out, until the head says something else."""
--- a/pearloom/rules/table.py
+++ b/pearloom/rules/table.py
@@ -68,7 +68,7 @@
         return Route(base.only, closed, base.tiers, base.tier, base.weights)
 
 
-class Table:
+class RoutingTable:
     """One version at one softswitch."""
 
     def __init__(self, version: str, rules: RuleSet, context: LocalContext) -> None:
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -31,7 +31,7 @@
     read_rules,
     version_of,
 )
-from pearloom.rules.table import FIRST, LAST, OTHERS, OWN, SPILL, LocalContext, Table
+from pearloom.rules.table import FIRST, LAST, OTHERS, OWN, SPILL, LocalContext, RoutingTable
 
 PLACE = LocalContext(
     ("open-form", "save-answers"), ("nour", "sahel"), "amsterdam",
@@ -40,9 +40,9 @@
 KNOWN = KnownNames(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
 
 
-def table(*effects: Effect, match: Match | None = None) -> Table:
+def table(*effects: Effect, match: Match | None = None) -> RoutingTable:
     made = tuple(Rule(f"r{at}", effect, match or Match()) for at, effect in enumerate(effects))
-    return Table("v", RuleSet(rules=made), PLACE)
+    return RoutingTable("v", RuleSet(rules=made), PLACE)
 
 
 def test_no_rules_say_nothing() -> None:
