--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -79,7 +79,7 @@
 
     # --- reading --------------------------------------------------------------------------------------------
     def _show(self) -> Answer:
-        there = self._rules.there
+        there = self._rules.head_state
         if there is None:
             return away()
         return Answer(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
@@ -192,14 +192,14 @@
         asked = Request(self._member.name, secrets.token_hex(8), reason, author, int(time.time() * 1000))
 
         def read() -> HeadState | Answer:
-            there = self._rules.there
+            there = self._rules.head_state
             if there is None or not self._link.fresh:
                 return away()
             return _won(there, asked.tag) or there
 
         def settled(outcome: Outcome) -> Answer:
             self._link.read_again()
-            there = self._rules.there
+            there = self._rules.head_state
             if there is not None and (won := _won(there, asked.tag)) is not None:
                 return won
             if outcome is Outcome.UNKNOWN:
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -168,7 +168,7 @@
         if now - self._looked_ms < rollout.terms.look_ms * min(1 + self._rank(rollout), MOST_LOOKS):
             return
         self._looked_ms = now
-        there = self._rules.there
+        there = self._rules.head_state
         if there is None or there.head != head:
             return
         asked = Request(self._member.name, secrets.token_hex(8), "", "", int(time.time() * 1000))
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -76,7 +76,7 @@
         return self._table.version
 
     @property
-    def there(self) -> HeadState | None:
+    def head_state(self) -> HeadState | None:
         """The head and its history, as last read of the store."""
         snapshot = self._link.snapshot
         return None if snapshot is None else read_there(snapshot)
