--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -91,7 +91,7 @@
             f" done={str(followed.done).lower()} fresh={str(self._link.fresh).lower()}"
         )
         if self._rules.diverged:
-            seen = self._rules.seen.number if self._rules.seen else 0
+            seen = self._rules.applied_head.number if self._rules.applied_head else 0
             yield f"diverged seen={seen} told={_quoted(self._rules.diverged)}"
         yield from (f"unreadable={key}" for key in there.unreadable)
         if head.rollout is not None:
@@ -208,7 +208,7 @@
             return Answer(HTTPStatus.OK, "ok\n")
 
         def step(there: HeadState) -> Attempt:
-            seen = self._rules.seen.number if self._rules.seen is not None else 0
+            seen = self._rules.applied_head.number if self._rules.applied_head is not None else 0
             return attempt(there, asked, seen)
 
         return write(read, step, self._link.attempt, self._link.read_again, settled, RulesError)
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -89,7 +89,7 @@
 
     def _obeyed(self) -> None:
         """The head, or what is gone by here, changed: a new stage is counted from now on."""
-        head, now = self._rules.seen, self._now_ms()
+        head, now = self._rules.applied_head, self._now_ms()
         rollout = head.rollout if head is not None and head.rollout and head.rollout.goes_on else None
         if head is not None and head.rollout is not None and rollout is None and self._tally.stage:
             self._halted_ms = now
@@ -115,7 +115,7 @@
         self._confirms.clear()
         # Guards against a fleet that confirms one head in one instant.
         gevent.sleep(secrets.randbelow(1000) / 1000.0 * CONFIRM_SPREAD_S * len(self._member.view.members))
-        head, snapshot = self._rules.seen, self._link.snapshot
+        head, snapshot = self._rules.applied_head, self._link.snapshot
         if head is None:
             return
         said = Confirmation(
@@ -156,7 +156,7 @@
         return self._now_ms() - self._halted_ms < HALTED_MS
 
     def _look(self) -> None:
-        head, now = self._rules.seen, self._now_ms()
+        head, now = self._rules.applied_head, self._now_ms()
         rollout = head.rollout if head is not None else None
         if head is None or rollout is None or not rollout.goes_on:
             return
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -47,7 +47,7 @@
         self._snapshots = SnapshotStore(settings.snapshot)
         self._kept: dict[str, RuleSet] = {EMPTY: RuleSet()}
         self._table = RoutingTable(EMPTY, RuleSet(), context)
-        self.seen: Head | None = None  # the newest head that was ever obeyed here
+        self.applied_head: Head | None = None  # the newest head that was ever obeyed here
         self.left = 0  # the rollout that this softswitch left by itself
         self._mod = -1  # the head's revision, as last read
         self.diverged = ""  # what the store says instead of it, if it says less
@@ -94,20 +94,20 @@
         stored = self._snapshots.read()
         if stored is not None:
             self._kept |= stored.versions
-            self.seen = stored.head
+            self.applied_head = stored.head
         answered = wait(self._settings.wait_ms)
         if answered and self._link.snapshot is not None:
             self._changed(self._link.snapshot)
-        elif self.seen is not None:
-            self._go_by(self.seen)
+        elif self.applied_head is not None:
+            self._go_by(self.applied_head)
         note(
             logging.INFO if answered else logging.WARNING, "rules_ready", version=self.version,
-            head=self.seen.number if self.seen else 0, store=answered,
+            head=self.applied_head.number if self.applied_head else 0, store=answered,
         )  # fmt: skip
 
     def _changed(self, snapshot: Snapshot) -> None:
         entry = snapshot.find(HEAD)
-        if entry is None and self.seen is None:
+        if entry is None and self.applied_head is None:
             self.diverged = ""  # there is nothing to obey, as before any edit
             return
         mod = entry.mod if entry is not None else 0
@@ -117,19 +117,29 @@
         there = read_there(snapshot)
         if not there.readable:
             self._diverge("unreadable")
-        elif not follows(there.head, self.seen):
+        elif not follows(there.head, self.applied_head):
             # Guards against a store that lost its last writes: its older head is named, not obeyed.
             self._diverge(str(there.head.number))
-        elif self.seen is None or there.head != self.seen or self.diverged or self.version != self._wanted():
+        elif (
+            self.applied_head is None
+            or there.head != self.applied_head
+            or self.diverged
+            or self.version != self._wanted()
+        ):
             self._obey(there.head, snapshot)
 
     def _diverge(self, told: str) -> None:
         if told != self.diverged:
             self.diverged = told
             self._counters.add("rules_diverged")
-            note(logging.ERROR, "rules_diverged", seen=self.seen.number if self.seen else 0, told=told)
-        if self.seen is not None and self.version != self._wanted():
-            self._go_by(self.seen)
+            note(
+                logging.ERROR,
+                "rules_diverged",
+                seen=self.applied_head.number if self.applied_head else 0,
+                told=told,
+            )
+        if self.applied_head is not None and self.version != self._wanted():
+            self._go_by(self.applied_head)
 
     def _obey(self, head: Head, snapshot: Snapshot) -> None:
         wanted = {head.version, head.before, *([head.rollout.version] if head.rollout else [])}
@@ -141,7 +151,7 @@
             return
         if self.diverged:
             note(logging.INFO, "rules_converged", head=head.number)
-        self.diverged, self.seen, self._kept = "", head, {EMPTY: RuleSet(), **kept}
+        self.diverged, self.applied_head, self._kept = "", head, {EMPTY: RuleSet(), **kept}
         if head.rollout is None or head.rollout.id != self.left:
             self.left = 0
         self._go_by(head)
@@ -156,13 +166,13 @@
         while True:
             self._to_shelve.wait()
             self._to_shelve.clear()
-            if self.seen is not None:
-                self._snapshots.write(self.seen, dict(self._kept))
+            if self.applied_head is not None:
+                self._snapshots.write(self.applied_head, dict(self._kept))
             gevent.sleep(SHELVE_AGAIN_S)
 
     def _wanted(self) -> str:
-        assert self.seen is not None
-        return self.seen.version if self.left else self.seen.runs(self.name)
+        assert self.applied_head is not None
+        return self.applied_head.version if self.left else self.applied_head.runs(self.name)
 
     def _go_by(self, head: Head) -> None:
         version = self._wanted()
@@ -186,6 +196,10 @@
 
     def leave(self, rollout: int) -> None:
         """Go back by itself from a version that is being rolled out, until the head says something else."""
-        if self.seen is not None and self.seen.rollout is not None and self.seen.rollout.id == rollout:
+        if (
+            self.applied_head is not None
+            and self.applied_head.rollout is not None
+            and self.applied_head.rollout.id == rollout
+        ):
             self.left = rollout
-            self._go_by(self.seen)
+            self._go_by(self.applied_head)
