--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -90,9 +90,9 @@
             f"head={head.number} version={head.version} before={head.before}"
             f" done={str(followed.done).lower()} fresh={str(self._link.fresh).lower()}"
         )
-        if self._rules.diverged:
+        if self._rules.divergence:
             seen = self._rules.applied_head.number if self._rules.applied_head else 0
-            yield f"diverged seen={seen} told={_quoted(self._rules.diverged)}"
+            yield f"diverged seen={seen} told={_quoted(self._rules.divergence)}"
         yield from (f"unreadable={key}" for key in there.unreadable)
         if head.rollout is not None:
             one = head.rollout
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -50,7 +50,7 @@
         self.applied_head: Head | None = None  # the newest head that was ever obeyed here
         self.left = 0  # the rollout that this softswitch left by itself
         self._mod = -1  # the head's revision, as last read
-        self.diverged = ""  # what the store says instead of it, if it says less
+        self.divergence = ""  # what the store says instead of it, if it says less
         self.on_obeyed: list[Callable[[], None]] = []
         self.tallied: Tallied = lambda version, mark, kind, end, took_ms: None
         self.marked: Callable[[], int] = lambda: 0
@@ -108,10 +108,10 @@
     def _changed(self, snapshot: Snapshot) -> None:
         entry = snapshot.find(HEAD)
         if entry is None and self.applied_head is None:
-            self.diverged = ""  # there is nothing to obey, as before any edit
+            self.divergence = ""  # there is nothing to obey, as before any edit
             return
         mod = entry.mod if entry is not None else 0
-        if mod == self._mod and not self.diverged:
+        if mod == self._mod and not self.divergence:
             return  # something else changed: heads are read as they come, not with each count told
         self._mod = mod
         there = read_there(snapshot)
@@ -123,14 +123,14 @@
         elif (
             self.applied_head is None
             or there.head != self.applied_head
-            or self.diverged
+            or self.divergence
             or self.version != self._wanted()
         ):
             self._obey(there.head, snapshot)
 
     def _diverge(self, told: str) -> None:
-        if told != self.diverged:
-            self.diverged = told
+        if told != self.divergence:
+            self.divergence = told
             self._counters.add("rules_diverged")
             note(
                 logging.ERROR,
@@ -149,9 +149,9 @@
             # Guards against a head whose rules are spoilt or gone: what is in force stays, and it is named.
             self._diverge(f"{head.number} without its rules")
             return
-        if self.diverged:
+        if self.divergence:
             note(logging.INFO, "rules_converged", head=head.number)
-        self.diverged, self.applied_head, self._kept = "", head, {EMPTY: RuleSet(), **kept}
+        self.divergence, self.applied_head, self._kept = "", head, {EMPTY: RuleSet(), **kept}
         if head.rollout is None or head.rollout.id != self.left:
             self.left = 0
         self._go_by(head)
