--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -186,7 +186,7 @@
         for told in self.on_obeyed:
             told()
 
-    def relist(self) -> None:
+    def update_zone_cells(self) -> None:
         """The pool list changed: what zones stand for may have."""
         cells = self._listed()
         if cells != self.context.cells:
