--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -22,7 +22,7 @@
 from pearloom.coordination import Attempt, Link, Outcome
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
-from pearloom.rollout.evidence import Evidence, delays_of
+from pearloom.rollout.evidence import Evidence, merge_delays
 from pearloom.rollout.host import RolloutHost
 from pearloom.rules import head as steps
 from pearloom.rules.check import KnownNames, find_errors
@@ -225,7 +225,7 @@
 def _delays(name: str, version: str, told: list[Evidence]) -> Iterator[str]:
     for kind in sorted({kind for one in told for kind in one.versions.get(version, {})}):
         held = [one.versions[version][kind].delays for one in told if kind in one.versions.get(version, {})]
-        whole = delays_of(text for text in held if text)
+        whole = merge_delays(text for text in held if text)
         p50, p95, p99 = (whole.get_value_at_percentile(share) for share in (50, 95, 99))
         yield f"delay class={kind} under={name} p50_ms={p50} p95_ms={p95} p99_ms={p99}"
 
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -196,7 +196,7 @@
     return sums[0], sums[1], sums[2], sums[3], sums[4]
 
 
-def delays_of(encoded: Iterable[str]) -> HdrHistogram:
+def merge_delays(encoded: Iterable[str]) -> HdrHistogram:
     """Histograms added up; one that can't be read is left out."""
     whole = HdrHistogram(1, MOST_DELAY_MS, DELAY_DIGITS)
     for text in encoded:
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -12,7 +12,7 @@
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.core.ends import End
 from pearloom.rollout import evidence
-from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, added, delays_of, join, stage_mark, told
+from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, added, join, merge_delays, stage_mark, told
 
 STAGE = stage_mark(3, 1)
 
@@ -94,8 +94,8 @@
 def test_delays_are_added_up_and_spoilt_ones_left_out() -> None:
     _, one = counted("n1", 1, [End.STOOD] * 10, 1)
     held = [counts.delays for counts in one.versions["v"].values()]
-    assert delays_of(held).get_total_count() == 10
-    assert delays_of([*held, "HISTF", "", held[0][:-3]]).get_total_count() >= 10
+    assert merge_delays(held).get_total_count() == 10
+    assert merge_delays([*held, "HISTF", "", held[0][:-3]]).get_total_count() >= 10
 
 
 SOUND = counted("n1", 7, [End.STOOD], 1)[1]
