--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -42,7 +42,7 @@
     Guard("what rules leave nothing is refused at once", "policy/lifecycle.py", "if route is not None and ready and not any(", "if False and not any(", (TABLE,)),
     Guard("a held call's rules hold up nobody", "policy/lifecycle.py", "                        if call.route is None:\n", "                        if True:\n", (TABLE,)),
     Guard("of one life the last value counts", "rollout/evidence.py", "or joined[key].told < one.told", "or True", (COUNTS,)),
-    Guard("a call counts in the stage of its arrival", "rollout/evidence.py", "if mark // BUCKETS != self.stage or", "if", (COUNTS,)),
+    Guard("a call counts in the stage of its arrival", "rollout/evidence.py", "if mark // BUCKETS_PER_STAGE != self.stage or", "if", (COUNTS,)),
     Guard("nothing is counted while no rollout goes on", "rollout/evidence.py", " or not self.stage:", ":", (COUNTS,)),
     Guard("a value stands under its own key", "rollout/evidence.py", "or entry.key != key_of(name, one.incarnation)", "", (COUNTS,)),
     Guard("what is out has to fit", "maintenance/order.py", "max(limits.floor * self._whole[slot.kind], self._load)", "limits.floor * self._whole[slot.kind]", ("tests/maintenance/test_capacity.py",)),
--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -12,7 +12,7 @@
 
 from pearloom.core.ends import End
 from pearloom.rollout import stages
-from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, stage_mark
+from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, stage_mark
 from pearloom.rollout.judge import judge
 
 ZONES = ("a", "b", "c")
@@ -50,7 +50,7 @@
 class _Softswitch:
     def __init__(self, name: str, zone: str, version: str, busier: float, lasts_s: int) -> None:
         self.name, self.zone, self.version, self.busier = name, zone, version, busier
-        self.tally = Tally(CLASSES, STAGE, 0.0, 1_000.0 * lasts_s / BUCKETS)
+        self.tally = Tally(CLASSES, STAGE, 0.0, 1_000.0 * lasts_s / BUCKETS_PER_STAGE)
         self.calls = 0
 
     def told(self, now_ms: float, number: int) -> Evidence:
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -23,7 +23,7 @@
 
 EVIDENCE = "evidence/"
 FORMAT = 1
-BUCKETS = 32  # of a stage: its longest time is cut into so many
+BUCKETS_PER_STAGE = 32  # of a stage: its longest time is cut into so many
 ENDS = (End.STOOD, End.LATE, End.REFUSED, End.FAILED, End.CUT)
 BAD = (End.LATE, End.REFUSED, End.FAILED, End.CUT)
 MOST_DELAY_MS, DELAY_DIGITS = 60_000, 2
@@ -94,13 +94,15 @@
 
     def mark(self, now_ms: float) -> int:
         """To be kept with a call that arrives now."""
-        return self.stage * BUCKETS + min(int((now_ms - self._began_ms) / self._bucket_ms), BUCKETS - 1)
+        return self.stage * BUCKETS_PER_STAGE + min(
+            int((now_ms - self._began_ms) / self._bucket_ms), BUCKETS_PER_STAGE - 1
+        )
 
     def ended(self, version: str, mark: int, kind: int, end: End, took_ms: float, now_ms: float) -> None:
         """An end of a call that arrived with this mark. Stage 0 is none, and holds nothing."""
-        if mark // BUCKETS != self.stage or end not in ENDS or not self.stage:
+        if mark // BUCKETS_PER_STAGE != self.stage or end not in ENDS or not self.stage:
             return
-        key, bucket = (version, kind), mark % BUCKETS
+        key, bucket = (version, kind), mark % BUCKETS_PER_STAGE
         rows = self._ends.setdefault(key, [])
         while len(rows) <= bucket:
             rows.append([0] * len(ENDS))
@@ -159,7 +161,9 @@
         found.told >= 0
         and 0 <= found.seconds < 1e9
         and all(0 <= count < MOST_COUNT for row in rows for count in row)
-        and all(len(counts.ends) <= BUCKETS for by in found.versions.values() for counts in by.values())
+        and all(
+            len(counts.ends) <= BUCKETS_PER_STAGE for by in found.versions.values() for counts in by.values()
+        )
     )
     return found if sound else None
 
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -22,7 +22,7 @@
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, Followed
-from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, rollout_of, stage_mark
+from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of, stage_mark
 from pearloom.rollout.guard import LocalGuard
 from pearloom.rollout.judge import Judgement
 from pearloom.rules.head import Head, HeadState, Operation, Request, Rollout
@@ -95,7 +95,7 @@
             self._halted_ms = now
         mark = stage_mark(rollout.id, rollout.stage) if rollout is not None else 0
         if mark != self._tally.stage:
-            bucket_ms = rollout.terms.evidence_ms / BUCKETS if rollout is not None else 1.0
+            bucket_ms = rollout.terms.evidence_ms / BUCKETS_PER_STAGE if rollout is not None else 1.0
             if rollout is not None and rollout.id != rollout_of(self._tally.stage):
                 self._own.forget(rollout.version)
             self._tally = Tally(self._rules.context.classes, mark, now, bucket_ms)
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -12,7 +12,16 @@
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.core.ends import End
 from pearloom.rollout import evidence
-from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, added, join, merge_delays, stage_mark, told
+from pearloom.rollout.evidence import (
+    BUCKETS_PER_STAGE,
+    Evidence,
+    Tally,
+    added,
+    join,
+    merge_delays,
+    stage_mark,
+    told,
+)
 
 STAGE = stage_mark(3, 1)
 
@@ -69,7 +78,7 @@
     tally.ended("v", Tally(("a",), STAGE + 1, 0.0, 1.0).mark(0.0), 0, End.FAILED, 10.0, 99_100.0)
     tally.ended("v", early, 0, End.ENDED, 10.0, 99_100.0)
     counts = tally.evidence(1, 1, "z", 0, 100_000.0).versions["v"]["a"]
-    assert counts.ends[0] == (1, 0, 0, 0, 1) and counts.ends[BUCKETS - 1] == (0, 0, 0, 1, 0)
+    assert counts.ends[0] == (1, 0, 0, 0, 1) and counts.ends[BUCKETS_PER_STAGE - 1] == (0, 0, 0, 1, 0)
     assert sum(map(sum, counts.ends)) == 3
 
 
@@ -115,7 +124,7 @@
         evidence.encode(SOUND).replace(b"[1,0,0,0,0]", b"[-1,0,0,0,0]"),
         evidence.encode(SOUND).replace(b"[1,0,0,0,0]", b"[1,0,0,0]"),
         evidence.encode(SOUND).replace(b'"zone"', b'"zome"'),
-        evidence.encode(SOUND).replace(b"[1,0,0,0,0]", b",".join([b"[1,0,0,0,0]"] * (BUCKETS + 1))),
+        evidence.encode(SOUND).replace(b"[1,0,0,0,0]", b",".join([b"[1,0,0,0,0]"] * (BUCKETS_PER_STAGE + 1))),
     ],
 )
 def test_a_value_that_cannot_be_true_is_named_and_not_counted(value: bytes) -> None:
