--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -12,13 +12,13 @@
 
 from pearloom.core.ends import End
 from pearloom.rollout import stages
-from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, stage_mark
+from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, stage_id
 from pearloom.rollout.judge import judge
 
 ZONES = ("a", "b", "c")
 CLASSES = ("open-form", "save-answers")
 LOOK_S = 2
-STAGE = stage_mark(1, 0)
+STAGE = stage_id(1, 0)
 BAD = (End.LATE, End.REFUSED, End.FAILED)
 
 
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -56,7 +56,7 @@
     versions: dict[str, dict[str, Counts]]  # by version, by class
 
 
-def stage_mark(rollout: int, stage: int) -> int:
+def stage_id(rollout: int, stage: int) -> int:
     """One number for a stage of a rollout."""
     return rollout * STAGES + stage
 
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -22,7 +22,7 @@
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, Followed
-from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of, stage_mark
+from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of, stage_id
 from pearloom.rollout.guard import LocalGuard
 from pearloom.rollout.judge import Judgement
 from pearloom.rules.head import Head, HeadState, Operation, Request, Rollout
@@ -93,7 +93,7 @@
         rollout = head.rollout if head is not None and head.rollout and head.rollout.goes_on else None
         if head is not None and head.rollout is not None and rollout is None and self._tally.stage:
             self._halted_ms = now
-        mark = stage_mark(rollout.id, rollout.stage) if rollout is not None else 0
+        mark = stage_id(rollout.id, rollout.stage) if rollout is not None else 0
         if mark != self._tally.stage:
             bucket_ms = rollout.terms.evidence_ms / BUCKETS_PER_STAGE if rollout is not None else 1.0
             if rollout is not None and rollout.id != rollout_of(self._tally.stage):
@@ -221,7 +221,7 @@
         """All that a step is decided from."""
         snapshot = self._link.snapshot
         assert snapshot is not None, "read once at least: there is a head"
-        told, _ = evidence.told(snapshot, stage_mark(rollout.id, rollout.stage))
+        told, _ = evidence.told(snapshot, stage_id(rollout.id, rollout.stage))
         heard = {
             name: max(self._heard[name][1] if name in self._heard else self._began_ms, self._blind_ms)
             for name in rollout.members
@@ -261,7 +261,7 @@
         rollout, snapshot = there.head.rollout, self._link.snapshot
         if rollout is None or snapshot is None:
             return Judgement(), (), []
-        told, unreadable = evidence.told(snapshot, stage_mark(rollout.id, rollout.stage))
+        told, unreadable = evidence.told(snapshot, stage_id(rollout.id, rollout.stage))
         return steps.judged_stage(rollout, there.head.version, told), unreadable, list(told.values())
 
 
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -19,11 +19,11 @@
     added,
     join,
     merge_delays,
-    stage_mark,
+    stage_id,
     told,
 )
 
-STAGE = stage_mark(3, 1)
+STAGE = stage_id(3, 1)
 
 
 def counted(name: str, life: int, ends: list[End], number: int) -> tuple[tuple[str, int], Evidence]:
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -10,10 +10,10 @@
 
 from pearloom.core.ends import End
 from pearloom.fakes.fleet.days import Day, false_halts, play_day
-from pearloom.rollout.evidence import Evidence, Tally, stage_mark
+from pearloom.rollout.evidence import Evidence, Tally, stage_id
 from pearloom.rollout.judge import RATIOS, Stratum, bounds, judge, log_evidence
 
-STAGE = stage_mark(1, 0)
+STAGE = stage_id(1, 0)
 RATE, TOLERANCE = 0.01, 1.25
 
 
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -22,7 +22,7 @@
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
-from pearloom.rollout.evidence import Tally, added, stage_mark
+from pearloom.rollout.evidence import Tally, added, stage_id
 from pearloom.rollout.steps import RolloutStep, Seen, next_step
 from pearloom.rules import head as heads
 from pearloom.rules.head import Head, Operation, Request, Terms, follows, read_there
@@ -51,7 +51,7 @@
             return
         self.obeyed = head
         rollout = head.rollout
-        mark = stage_mark(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
+        mark = stage_id(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
         if mark != self.tally.stage:
             self.tally, self.began, self.told = Tally(("a",), mark, now, 1_000.0), now, 0
             self.heard = {}
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -13,7 +13,7 @@
 from pearloom.core.ends import End
 from pearloom.rollout import confirm, stages, steps
 from pearloom.rollout.confirm import Confirmation
-from pearloom.rollout.evidence import Evidence, Tally, stage_mark
+from pearloom.rollout.evidence import Evidence, Tally, stage_id
 from pearloom.rollout.guard import HALVED_AT, LocalGuard
 from pearloom.rollout.steps import Seen, next_step, nobody_wrote
 from pearloom.rules.head import Head, HeadState, Operation, Request, Rollout, Terms
@@ -30,7 +30,7 @@
 
 
 def told(name: str, version: str, ends: list[End], stage: int = 0, broken: int = 0) -> Told:
-    tally = Tally(("a",), stage_mark(4, stage), 0.0, 2_000.0)
+    tally = Tally(("a",), stage_id(4, stage), 0.0, 2_000.0)
     for at, end in enumerate(ends):
         tally.ended(version, tally.mark(200.0 * at), 0, end, 10.0, 200.0 * at)
     return {(name, 1): tally.evidence(1, 1, ZONES[name], broken, 12_000.0)}
