--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -98,7 +98,7 @@
             int((now_ms - self._began_ms) / self._bucket_ms), BUCKETS_PER_STAGE - 1
         )
 
-    def ended(self, version: str, mark: int, kind: int, end: End, took_ms: float, now_ms: float) -> None:
+    def record_end(self, version: str, mark: int, kind: int, end: End, took_ms: float, now_ms: float) -> None:
         """An end of a call that arrived with this mark. Stage 0 is none, and holds nothing."""
         if mark // BUCKETS_PER_STAGE != self.stage or end not in ENDS or not self.stage:
             return
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -84,7 +84,7 @@
     # --- counting -------------------------------------------------------------------------------------------
     def _ended(self, version: str, mark: int, kind: int, end: End, took_ms: float) -> None:
         now = self._now_ms()
-        self._tally.ended(version, mark, kind, end, took_ms, now)
+        self._tally.record_end(version, mark, kind, end, took_ms, now)
         self._own.ended(version, kind, end, now)
 
     def _obeyed(self) -> None:
