--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -102,7 +102,9 @@
 def _end(one: _Softswitch, kind: int, end: End, now: float, random: Random) -> None:
     at = now + random.uniform(0.0, 999.0)
     one.calls += 1
-    one.tally.record_end(one.version, one.tally.mark(at), kind, end, random.lognormvariate(4.0, 0.5), at)
+    one.tally.record_end(
+        one.version, one.tally.arrival_mark(at), kind, end, random.lognormvariate(4.0, 0.5), at
+    )
 
 
 def false_halts(day: Day, days: int, rate: float, seed: int = 0) -> int:
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -92,7 +92,7 @@
         self._delays: dict[tuple[str, int], HdrHistogram] = {}
         self._bursts: dict[tuple[str, int, End], BySecond] = {}
 
-    def mark(self, now_ms: float) -> int:
+    def arrival_mark(self, now_ms: float) -> int:
         """To be kept with a call that arrives now."""
         return self.stage * BUCKETS_PER_STAGE + min(
             int((now_ms - self._began_ms) / self._bucket_ms), BUCKETS_PER_STAGE - 1
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -64,7 +64,7 @@
         self._blind_ms = self._halted_ms = float("-inf")
         self._tried: tuple[str, float] = ("", 0.0)
         self._confirms = Event()
-        rules.marked = lambda: self._tally.mark(self._now_ms())
+        rules.marked = lambda: self._tally.arrival_mark(self._now_ms())
         rules.tallied = self._ended
         rules.on_obeyed.append(self._obeyed)
 
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -29,7 +29,7 @@
 def counted(name: str, life: int, ends: list[End], number: int) -> tuple[tuple[str, int], Evidence]:
     tally = Tally(("a", "b"), STAGE, 0.0, 100.0)
     for at, end in enumerate(ends):
-        tally.record_end("v", tally.mark(20.0 * at), at % 2, end, 10.0 + at, 20.0 * at)
+        tally.record_end("v", tally.arrival_mark(20.0 * at), at % 2, end, 10.0 + at, 20.0 * at)
     return (name, life), tally.evidence(life, number, "z", 0, 1_000.0)
 
 
@@ -71,11 +71,11 @@
 
 def test_a_call_counts_in_its_stage_and_its_piece_of_time_or_nowhere() -> None:
     tally = Tally(("a",), STAGE, 0.0, 1_000.0)
-    early, late = tally.mark(500.0), tally.mark(99_000.0)
+    early, late = tally.arrival_mark(500.0), tally.arrival_mark(99_000.0)
     tally.record_end("v", early, 0, End.STOOD, 10.0, 5_000.0)
     tally.record_end("v", early, 0, End.CUT, 10.0, 9_000.0)
     tally.record_end("v", late, 0, End.FAILED, 10.0, 99_100.0)
-    tally.record_end("v", Tally(("a",), STAGE + 1, 0.0, 1.0).mark(0.0), 0, End.FAILED, 10.0, 99_100.0)
+    tally.record_end("v", Tally(("a",), STAGE + 1, 0.0, 1.0).arrival_mark(0.0), 0, End.FAILED, 10.0, 99_100.0)
     tally.record_end("v", early, 0, End.ENDED, 10.0, 99_100.0)
     counts = tally.evidence(1, 1, "z", 0, 100_000.0).versions["v"]["a"]
     assert counts.ends[0] == (1, 0, 0, 0, 1) and counts.ends[BUCKETS_PER_STAGE - 1] == (0, 0, 0, 1, 0)
@@ -86,15 +86,15 @@
     """Guards against a process that holds counts of every version that it ever went by."""
     tally = Tally(("a",), 0, 0.0, 1_000.0)
     for version in range(100):
-        tally.record_end(f"{version}", tally.mark(5.0), 0, End.STOOD, 10.0, 5.0)
+        tally.record_end(f"{version}", tally.arrival_mark(5.0), 0, End.STOOD, 10.0, 5.0)
     assert tally.evidence(1, 1, "z", 0, 1_000.0).versions == {}
 
 
 def test_squares_tell_a_burst_from_ends_spread_over_time() -> None:
     burst, spread = Tally(("a",), STAGE, 0.0, 1_000.0), Tally(("a",), STAGE, 0.0, 1_000.0)
     for at in range(10):
-        burst.record_end("v", burst.mark(0.0), 0, End.FAILED, 1.0, 100.0 + at)
-        spread.record_end("v", spread.mark(0.0), 0, End.FAILED, 1.0, 1_000.0 * at)
+        burst.record_end("v", burst.arrival_mark(0.0), 0, End.FAILED, 1.0, 100.0 + at)
+        spread.record_end("v", spread.arrival_mark(0.0), 0, End.FAILED, 1.0, 1_000.0 * at)
     found = [one.evidence(1, 1, "", 0, 10_000.0).versions["v"]["a"].squares for one in (burst, spread)]
     assert found[0][evidence.BAD.index(End.FAILED)] == 100
     assert found[1][evidence.BAD.index(End.FAILED)] == 10
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -80,7 +80,7 @@
     for version, made in ends.items():
         for at, end in enumerate(made):
             now = 500.0 * at
-            tally.record_end(version, tally.mark(now), 0, end, 10.0, now)
+            tally.record_end(version, tally.arrival_mark(now), 0, end, 10.0, now)
     return (name, 1), tally.evidence(1, 1, zone, 0, 30_000.0)
 
 
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -101,7 +101,7 @@
         one = self.fleet[name]
         version = one.obeyed.runs(name) if one.obeyed else EMPTY
         for end in ends:
-            one.tally.record_end(version, one.tally.mark(self.now), 0, end, 10.0, self.now)
+            one.tally.record_end(version, one.tally.arrival_mark(self.now), 0, end, 10.0, self.now)
         if one.tally.stage:
             self.calls[one.tally.stage] = self.calls.get(one.tally.stage, 0) + len(ends)
 
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -32,7 +32,7 @@
 def told(name: str, version: str, ends: list[End], stage: int = 0, broken: int = 0) -> Told:
     tally = Tally(("a",), stage_id(4, stage), 0.0, 2_000.0)
     for at, end in enumerate(ends):
-        tally.record_end(version, tally.mark(200.0 * at), 0, end, 10.0, 200.0 * at)
+        tally.record_end(version, tally.arrival_mark(200.0 * at), 0, end, 10.0, 200.0 * at)
     return {(name, 1): tally.evidence(1, 1, ZONES[name], broken, 12_000.0)}
 
 
