--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -127,7 +127,7 @@
         for one in judged.findings:
             low, high = one.ratio(there.head.rollout.terms.rate)
             yield (
-                f"evidence class={one.kind} end={one.end.value} new={one.bad_new}/{one.new}"
+                f"evidence class={one.class_name} end={one.end.value} new={one.bad_new}/{one.new}"
                 f" old={one.bad_old}/{one.old} ratio_low={low:.2f} ratio_high={high:.2f}"
                 f" log_evidence={one.log_evidence:.2f}"
             )
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -43,7 +43,7 @@
 class Finding:
     """One bad end of one class, compared. `log_evidence`: natural logarithm; 0 says nothing."""
 
-    kind: str
+    class_name: str
     end: End
     bad_new: int
     new: int
@@ -61,8 +61,8 @@
         """For the log and the operator."""
         low, high = self.ratio(rate)
         return (
-            f"{self.end.value} of class {self.kind}: {self.bad_new} of {self.new} new, {self.bad_old} of"
-            f" {self.old} old, ratio from {low:.2f} to {high:.2f}"
+            f"{self.end.value} of class {self.class_name}: {self.bad_new} of {self.new} new, {self.bad_old}"
+            f" of {self.old} old, ratio from {low:.2f} to {high:.2f}"
         )
 
 
