--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -125,7 +125,7 @@
         assert there.head.rollout is not None, "asked for a rollout alone"
         yield from (f"unreadable={key}" for key in unreadable)
         for one in judged.findings:
-            low, high = one.ratio(there.head.rollout.terms.rate)
+            low, high = one.ratio_bounds(there.head.rollout.terms.rate)
             yield (
                 f"evidence class={one.class_name} end={one.end.value} new={one.bad_new}/{one.new}"
                 f" old={one.bad_old}/{one.old} ratio_low={low:.2f} ratio_high={high:.2f}"
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -53,13 +53,13 @@
     log_evidence: float
     strata: tuple[Stratum, ...]
 
-    def ratio(self, rate: float) -> tuple[float, float]:
+    def ratio_bounds(self, rate: float) -> tuple[float, float]:
         """Between which the ratio of rates lies, new to old; costs some ms, so it is asked for when shown."""
         return bounds(self.strata, rate, self.dispersion)
 
     def told(self, rate: float) -> str:
         """For the log and the operator."""
-        low, high = self.ratio(rate)
+        low, high = self.ratio_bounds(rate)
         return (
             f"{self.end.value} of class {self.class_name}: {self.bad_new} of {self.new} new, {self.bad_old}"
             f" of {self.old} old, ratio from {low:.2f} to {high:.2f}"
