--- a/pearloom/rollout/guard.py
+++ b/pearloom/rollout/guard.py
@@ -75,7 +75,7 @@
         worst = max(findings, key=lambda one: one.log_evidence, default=None)
         # The mean over all that was looked at has to be shown, of which the largest is a part (Bonferroni).
         need = log(len(self.classes) * len(BAD) / rate)
-        return worst.told(rate) if worst is not None and worst.log_evidence >= need else ""
+        return worst.describe(rate) if worst is not None and worst.log_evidence >= need else ""
 
     def _finding(
         self, name: str, kind: int, end: End, new: str, old: str, tolerance: float
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -57,7 +57,7 @@
         """Between which the ratio of rates lies, new to old; costs some ms, so it is asked for when shown."""
         return bounds(self.strata, rate, self.dispersion)
 
-    def told(self, rate: float) -> str:
+    def describe(self, rate: float) -> str:
         """For the log and the operator."""
         low, high = self.ratio_bounds(rate)
         return (
