--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -81,7 +81,7 @@
         if second % LOOK_S == LOOK_S - 1:
             told = {(one.name, 1): one.told(now + 999.0, second) for one in fleet}
             found = judge(told, "new", "old", tolerance)
-            if found.regressed(rate) and found.worst is not None:
+            if found.has_regressed(rate) and found.worst is not None:
                 return Played(second + 1.0, found.worst.describe(rate), found.calls_new)
     return Played(None, "", sum(one.calls for one in fleet if one.version == "new"))
 
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -78,7 +78,7 @@
     log_mean: float = 0.0
     calls_new: int = 0
 
-    def regressed(self, rate: float) -> bool:
+    def has_regressed(self, rate: float) -> bool:
         """Is it shown, at this rate of false alarms?"""
         return self.log_mean >= -log(rate)
 
--- a/pearloom/rollout/steps.py
+++ b/pearloom/rollout/steps.py
@@ -104,7 +104,7 @@
         silent = seen.now_ms - max(seen.heard_ms.get(name, seen.since_ms), seen.since_ms)
         if silent > most:
             return f"{name} has told nothing for {silent / 1000:.1f} s"
-    if judged.regressed(stage_rate(rollout)) and judged.worst is not None:
+    if judged.has_regressed(stage_rate(rollout)) and judged.worst is not None:
         return judged.worst.describe(stage_rate(rollout))
     if lasted > terms.evidence_ms and not _told_enough(rollout, judged):
         few = f"{judged.calls_new} calls under the new version in {lasted / 1000:.0f} s"
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -89,10 +89,10 @@
     lost, well = [End.FAILED, End.FAILED] * 30, [End.STOOD] * 60
     others = [told(name, "b", {"old": well}) for name in ("n3", "n4", "n5")]
     held = dict([told("n1", "a", {"new": lost}), told("n2", "a", {"old": lost}), *others])
-    assert not judge(held, "new", "old", TOLERANCE).regressed(RATE)
+    assert not judge(held, "new", "old", TOLERANCE).has_regressed(RATE)
     alone = {key: one for key, one in held.items() if key[0] != "n2"}
     found = judge(alone, "new", "old", TOLERANCE)
-    assert found.regressed(RATE), "where nobody else is in its zone, all others are what there is"
+    assert found.has_regressed(RATE), "where nobody else is in its zone, all others are what there is"
     assert found.worst is not None and found.worst.end is End.FAILED
 
 
