--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -107,7 +107,7 @@
         for member in self._member.view.members:
             at = said.get(member.name)
             number, version, left = (at.number, at.version, at.left) if at else (0, "-", 0)
-            waits = "waits" if member.name in followed.waits else "has"
+            waits = "waits" if member.name in followed.pending else "has"
             state = "away" if member.name in followed.away else waits
             yield (
                 f"member={member.name} condition={member.condition.value} {state}={head.number}"
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -30,13 +30,13 @@
 class Followed:
     """Who goes by the head already: `waits` are live and have not said so, `away` can't say it."""
 
-    waits: tuple[str, ...]
+    pending: tuple[str, ...]
     away: tuple[str, ...]
 
     @property
     def done(self) -> bool:
         """Has every live softswitch confirmed?"""
-        return not self.waits
+        return not self.pending
 
 
 def confirmations(snapshot: Snapshot) -> dict[str, Confirmation]:
