--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -108,7 +108,7 @@
             at = said.get(member.name)
             number, version, left = (at.number, at.version, at.left) if at else (0, "-", 0)
             waits = "waits" if member.name in followed.pending else "has"
-            state = "away" if member.name in followed.away else waits
+            state = "away" if member.name in followed.absent else waits
             yield (
                 f"member={member.name} condition={member.condition.value} {state}={head.number}"
                 f" at={number} version={version} left={left}"
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -31,7 +31,7 @@
     """Who goes by the head already: `waits` are live and have not said so, `away` can't say it."""
 
     pending: tuple[str, ...]
-    away: tuple[str, ...]
+    absent: tuple[str, ...]
 
     @property
     def done(self) -> bool:
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -139,7 +139,7 @@
         "n3": Confirmation(1, 1, 4, OLD),
     }
     found = confirm.followed(5, {"n1": 7, "n2": 8}, ("n3", "n4"), said)
-    assert found.pending == ("n2",) and found.away == ("n3", "n4") and not found.done
+    assert found.pending == ("n2",) and found.absent == ("n3", "n4") and not found.done
     assert confirm.followed(5, {"n1": 7}, (), said).done
 
 
