--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -88,7 +88,7 @@
         head, followed = there.head, self._rollout.followed(there)
         yield (
             f"head={head.number} version={head.version} before={head.before}"
-            f" done={str(followed.done).lower()} fresh={str(self._link.fresh).lower()}"
+            f" done={str(followed.is_complete).lower()} fresh={str(self._link.fresh).lower()}"
         )
         if self._rules.divergence:
             seen = self._rules.applied_head.number if self._rules.applied_head else 0
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -34,7 +34,7 @@
     absent: tuple[str, ...]
 
     @property
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         """Has every live softswitch confirmed?"""
         return not self.pending
 
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -139,8 +139,8 @@
         "n3": Confirmation(1, 1, 4, OLD),
     }
     found = confirm.followed(5, {"n1": 7, "n2": 8}, ("n3", "n4"), said)
-    assert found.pending == ("n2",) and found.absent == ("n3", "n4") and not found.done
-    assert confirm.followed(5, {"n1": 7}, (), said).done
+    assert found.pending == ("n2",) and found.absent == ("n3", "n4") and not found.is_complete
+    assert confirm.followed(5, {"n1": 7}, (), said).is_complete
 
 
 def test_what_is_said_already_is_not_written_again_and_what_is_spoilt_counts_as_nothing() -> None:
