--- a/pearloom/rollout/__init__.py
+++ b/pearloom/rollout/__init__.py
@@ -3,8 +3,8 @@
 Loaded only where the operator's file names a store.
 """
 
-from pearloom.rollout.confirm import Confirmation, Followed, followed
+from pearloom.rollout.confirm import Confirmation, ConfirmationStatus, followed
 from pearloom.rollout.evidence import Evidence, Tally
 from pearloom.rollout.steps import RolloutStep, next_step
 
-__all__ = ["Confirmation", "Evidence", "Followed", "RolloutStep", "Tally", "followed", "next_step"]
+__all__ = ["Confirmation", "Evidence", "ConfirmationStatus", "RolloutStep", "Tally", "followed", "next_step"]
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Followed:
+class ConfirmationStatus:
     """Who goes by the head already: `waits` are live and have not said so, `away` can't say it."""
 
     pending: tuple[str, ...]
@@ -60,7 +60,7 @@
 
 def followed(
     number: int, live: Mapping[str, int], missing: Sequence[str], said: Mapping[str, Confirmation]
-) -> Followed:
+) -> ConfirmationStatus:
     """Who goes by head `number`; `live`: each live softswitch and its incarnation.
 
     What a former incarnation said counts for nothing: its process is gone, and this one may have begun with
@@ -70,4 +70,4 @@
         if name not in said or said[name].number < number or said[name].incarnation != life
     ]  # fmt: skip
     away = [name for name in missing if name not in said or said[name].number < number]
-    return Followed(tuple(sorted(waits)), tuple(sorted(away)))
+    return ConfirmationStatus(tuple(sorted(waits)), tuple(sorted(away)))
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -21,7 +21,7 @@
 from pearloom.core.logs import crashed, note
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
-from pearloom.rollout.confirm import Confirmation, Followed
+from pearloom.rollout.confirm import Confirmation, ConfirmationStatus
 from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of, stage_id
 from pearloom.rollout.guard import LocalGuard
 from pearloom.rollout.judge import Judgement
@@ -245,7 +245,7 @@
             self._rules.leave(rollout.id)
 
     # --- for operators --------------------------------------------------------------------------------------
-    def followed(self, there: HeadState) -> Followed:
+    def followed(self, there: HeadState) -> ConfirmationStatus:
         """Who goes by the head already."""
         view, snapshot = self._member.view, self._link.snapshot
         said = confirm.confirmations(snapshot) if snapshot is not None else {}
