--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -85,7 +85,7 @@
         return Answer(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
 
     def _lines(self, there: HeadState) -> Iterator[str]:
-        head, followed = there.head, self._rollout.followed(there)
+        head, followed = there.head, self._rollout.confirmation_status(there)
         yield (
             f"head={head.number} version={head.version} before={head.before}"
             f" done={str(followed.is_complete).lower()} fresh={str(self._link.fresh).lower()}"
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -245,7 +245,7 @@
             self._rules.leave(rollout.id)
 
     # --- for operators --------------------------------------------------------------------------------------
-    def followed(self, there: HeadState) -> ConfirmationStatus:
+    def confirmation_status(self, there: HeadState) -> ConfirmationStatus:
         """Who goes by the head already."""
         view, snapshot = self._member.view, self._link.snapshot
         said = confirm.confirmations(snapshot) if snapshot is not None else {}
