--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -121,7 +121,7 @@
             )
 
     def _evidence(self, there: HeadState) -> Iterator[str]:
-        judged, unreadable, told = self._rollout.judged(there)
+        judged, unreadable, told = self._rollout.judge_current_stage(there)
         assert there.head.rollout is not None, "asked for a rollout alone"
         yield from (f"unreadable={key}" for key in unreadable)
         for one in judged.findings:
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -256,7 +256,7 @@
         """What each softswitch last said."""
         return {} if self._link.snapshot is None else confirm.confirmations(self._link.snapshot)
 
-    def judged(self, there: HeadState) -> tuple[Judgement, tuple[str, ...], list[Evidence]]:
+    def judge_current_stage(self, there: HeadState) -> tuple[Judgement, tuple[str, ...], list[Evidence]]:
         """What the evidence of this stage says now, the keys that can't be read, and the evidence itself."""
         rollout, snapshot = there.head.rollout, self._link.snapshot
         if rollout is None or snapshot is None:
