--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -72,7 +72,7 @@
             idle=lambda: not exchange.open_calls + exchange.standing_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
-            halted=lambda: self._rollout.halted,
+            halted=lambda: self._rollout.has_recent_halt,
         )
         self._turns = MaintenanceHost(self._link, self._member, counters, turns.limits, hands, steady_ms)
         self._work = Work(self._turns, config.name)
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -151,7 +151,7 @@
 
     # --- looking --------------------------------------------------------------------------------------------
     @property
-    def halted(self) -> bool:
+    def has_recent_halt(self) -> bool:
         """Has a rollout just halted? No turn begins on that."""
         return self._now_ms() - self._halted_ms < HALTED_MS
 
