--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -132,7 +132,9 @@
         snapshot = self._link.snapshot
         if snapshot is None or not self._link.may_act():
             return
-        if now - self._told_ms < stages.tell_ms(rollout.terms.tell_ms, len(self._member.view.members)):
+        if now - self._told_ms < stages.publish_interval_ms(
+            rollout.terms.tell_ms, len(self._member.view.members)
+        ):
             return
         self._told_ms = now
         name, life = self._member.name, self._member.incarnation
--- a/pearloom/rollout/stages.py
+++ b/pearloom/rollout/stages.py
@@ -38,7 +38,7 @@
     return order(names, rollout)[:count]
 
 
-def tell_ms(least_ms: float, softswitches: int) -> float:
+def publish_interval_ms(least_ms: float, softswitches: int) -> float:
     """How long each softswitch waits between two values.
 
     Guards against a store that bears the square of the fleet: each value is told to every softswitch."""
@@ -47,4 +47,4 @@
 
 def silent_ms(told_ms: float, least_ms: float, softswitches: int) -> float:
     """After so long without a value a softswitch has told nothing."""
-    return max(told_ms, SILENT_TELLS * tell_ms(least_ms, softswitches))
+    return max(told_ms, SILENT_TELLS * publish_interval_ms(least_ms, softswitches))
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -125,10 +125,10 @@
 
 
 def test_the_store_bears_the_same_number_of_values_whatever_the_fleet() -> None:
-    assert stages.tell_ms(1_000.0, 16) == 1_000.0
+    assert stages.publish_interval_ms(1_000.0, 16) == 1_000.0
     for fleet in (200, 1_000):
-        assert fleet / stages.tell_ms(1_000.0, fleet) * 1_000.0 <= 50.0
-        assert stages.silent_ms(5_000.0, 1_000.0, fleet) >= 4 * stages.tell_ms(1_000.0, fleet)
+        assert fleet / stages.publish_interval_ms(1_000.0, fleet) * 1_000.0 <= 50.0
+        assert stages.silent_ms(5_000.0, 1_000.0, fleet) >= 4 * stages.publish_interval_ms(1_000.0, fleet)
 
 
 # --- confirmations ------------------------------------------------------------------------------------------
