--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -1,4 +1,4 @@
-"""What each softswitch says of the head it goes by, and when a change is done. A decision: no I/O."""
+"""Each softswitch's confirmation of the head it has applied, and when a change is complete. No I/O."""
 
 from __future__ import annotations
 
@@ -10,64 +10,67 @@
 from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
 from pearloom.coordination.values import decoded
 
-CONFIRMED = "rules/at/"
+CONFIRMATIONS_PREFIX = "rules/at/"
 FORMAT = 1
-MOST_WHY = 300
+MAX_REASON_LENGTH = 300
 
 
 class Confirmation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One softswitch goes by this version of this head. `left`: the rollout it left by itself, and why."""
+    """A softswitch has applied this version of this head."""
 
     format: int
     incarnation: int
-    number: int
+    number: int  # of the head
     version: str
-    left: int = 0
-    why: str = ""
+    left: int = 0  # id of the rollout that the softswitch left by itself; 0: none
+    why: str = ""  # reason for leaving it
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmationStatus:
-    """Who goes by the head already: `waits` are live and have not said so, `away` can't say it."""
+    """The softswitches that have not confirmed a head: `pending` are live, `absent` can't confirm now."""
 
     pending: tuple[str, ...]
     absent: tuple[str, ...]
 
     @property
     def is_complete(self) -> bool:
-        """Has every live softswitch confirmed?"""
+        """Whether every live softswitch has confirmed the head."""
         return not self.pending
 
 
 def confirmations(snapshot: Snapshot) -> dict[str, Confirmation]:
-    """By softswitch; what can't be read is not there."""
-    found: dict[str, Confirmation] = {}
-    for entry in snapshot.below(CONFIRMED):
-        one = decoded(entry.value, Confirmation, FORMAT)
-        if one is not None and len(one.why) <= MOST_WHY:
-            found[entry.key.removeprefix(CONFIRMED)] = one
-    return found
-
-
-def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Attempt | None:
-    """Say it; None where it stands there already."""
-    entry, value = snapshot.find(CONFIRMED + name), msgspec.json.encode(said)
+    """Read the confirmations by softswitch; unreadable ones are left out."""
+    confirmations: dict[str, Confirmation] = {}
+    for entry in snapshot.below(CONFIRMATIONS_PREFIX):
+        confirmation = decoded(entry.value, Confirmation, FORMAT)
+        if confirmation is not None and len(confirmation.why) <= MAX_REASON_LENGTH:
+            confirmations[entry.key.removeprefix(CONFIRMATIONS_PREFIX)] = confirmation
+    return confirmations
+
+
+def confirmation_attempt(snapshot: Snapshot, softswitch: str, confirmation: Confirmation) -> Attempt | None:
+    """Build the write of a confirmation; None if the store holds it already."""
+    entry, value = snapshot.find(CONFIRMATIONS_PREFIX + softswitch), msgspec.json.encode(confirmation)
     if entry is not None and entry.value == value:
         return None
-    compare = Compare(CONFIRMED + name, entry.mod if entry is not None else 0)
-    return Attempt((compare,), (Write(CONFIRMED + name, value),))
+    compare = Compare(CONFIRMATIONS_PREFIX + softswitch, entry.mod if entry is not None else 0)
+    return Attempt((compare,), (Write(CONFIRMATIONS_PREFIX + softswitch, value),))
 
 
-def followed(
-    number: int, live: Mapping[str, int], missing: Sequence[str], said: Mapping[str, Confirmation]
+def confirmation_status(
+    number: int, live: Mapping[str, int], missing: Sequence[str], confirmations: Mapping[str, Confirmation]
 ) -> ConfirmationStatus:
-    """Who goes by head `number`; `live`: each live softswitch and its incarnation.
-
-    What a former incarnation said counts for nothing: its process is gone, and this one may have begun with
-    something else."""
-    waits = [
-        name for name, life in live.items()
-        if name not in said or said[name].number < number or said[name].incarnation != life
-    ]  # fmt: skip
-    away = [name for name in missing if name not in said or said[name].number < number]
-    return ConfirmationStatus(tuple(sorted(waits)), tuple(sorted(away)))
+    """Return the softswitches that have not confirmed head `number`; `live` maps names to incarnations.
+
+    A confirmation by an earlier incarnation does not count: its process has ended, and the present one may
+    have started with another head."""
+    pending = [
+        name
+        for name, incarnation in live.items()
+        if name not in confirmations
+        or confirmations[name].number < number
+        or confirmations[name].incarnation != incarnation
+    ]
+    absent = [name for name in missing if name not in confirmations or confirmations[name].number < number]
+    return ConfirmationStatus(tuple(sorted(pending)), tuple(sorted(absent)))
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -1,7 +1,7 @@
-"""Takes part in rollouts at one softswitch: counts, tells, confirms, looks, and tries the next step.
+"""One softswitch's part in rollouts: counts, publishes, confirms, judges and attempts the next step.
 
-What to do is decided in `steps.py`, `judge.py` and `guard.py`. A call's way only counts; all that waits for
-the store does so in greenlets of this file.
+`steps.py`, `judge.py` and `guard.py` decide. Call handling only updates counters; everything that waits for
+the store runs in greenlets of this module.
 """
 
 from __future__ import annotations
@@ -22,22 +22,24 @@
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, ConfirmationStatus
-from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of, stage_id
+from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of_stage, stage_id
 from pearloom.rollout.guard import LocalGuard
 from pearloom.rollout.judge import Judgement
 from pearloom.rules.head import Head, HeadState, Operation, Request, Rollout
 from pearloom.rules.host import RulesHost
 
-LOOK_S = 0.1
-LISTEN_MS = 250.0  # between two looks at who has told something
-MOST_LOOKS = 10  # x the time between looks: so seldom judges the last one in a stage's order
-HALTED_MS = 60_000.0  # no turn begins for so long after a halt
-CONFIRM_AGAIN_S = 0.1
-CONFIRM_SPREAD_S = 0.005  # x the softswitches: over so long their confirmations of one head are spread
+LOOP_INTERVAL_S = 0.1
+OBSERVE_INTERVAL_MS = 250.0  # between two checks for newly published evidence
+MAX_INTERVAL_FACTOR = 10  # x `look_ms`: longest interval between judgements, for high ranks in a stage
+RECENT_HALT_MS = 60_000.0  # time after a halt in which no maintenance slot is granted
+CONFIRM_RETRY_S = 0.1
+CONFIRM_SPREAD_S = 0.005  # x the softswitches: time over which the confirmations of a head are spread
 
 
 class RolloutHost:
-    """One softswitch's part; `broken` gives how many decisions broke in this life."""
+    """One softswitch's part in rollouts.
+
+    `failed_decisions` returns how many decisions failed with an exception in this incarnation."""
 
     def __init__(
         self,
@@ -46,234 +48,260 @@
         rules: RulesHost,
         counters: Counters,
         zone: str,
-        broken: Callable[[], int],
+        failed_decisions: Callable[[], int],
         now_ms: Callable[[], float],
     ) -> None:
-        """Takes no part before `start`."""
+        """Register with the rules host; `start` starts the greenlets."""
         self._link, self._member, self._rules, self._counters = link, member, rules, counters
-        self._zone, self._broken, self._now_ms = zone, broken, now_ms
+        self._zone, self._failed_decisions, self._now_ms = zone, failed_decisions, now_ms
         classes = rules.context.classes
-        self._own = LocalGuard(classes)
+        self._guard = LocalGuard(classes)
         self._tally = Tally(classes, 0, now_ms(), 1.0)
-        self._began_ms = self._told_ms = self._looked_ms = now_ms()
-        self._told = self._broken_before = 0
-        self._why_left = ""
-        self._heard: dict[str, tuple[tuple[int, int], float]] = {}
-        self._numbers: dict[str, int] = {}  # what each softswitch had told when the store was last fresh
-        self._away_ms = self._listened_ms = 0.0
-        self._blind_ms = self._halted_ms = float("-inf")
-        self._tried: tuple[str, float] = ("", 0.0)
-        self._confirms = Event()
-        rules.marked = lambda: self._tally.arrival_mark(self._now_ms())
-        rules.tallied = self._ended
-        rules.on_obeyed.append(self._obeyed)
+        self._stage_start_ms = self._last_publish_ms = self._last_judged_ms = now_ms()
+        self._sequence = self._failed_decisions_before = 0
+        self._leave_reason = ""
+        self._latest_values: dict[str, tuple[tuple[int, int], float]] = {}
+        self._sequences: dict[str, int] = {}  # sequence number by softswitch, as of the last fresh read
+        self._store_lost_ms = self._last_observed_ms = 0.0
+        self._last_cut_off_ms = self._last_halt_ms = float("-inf")
+        self._pending_step: tuple[str, float] = ("", 0.0)
+        self._confirmation_due = Event()
+        rules.arrival_mark = lambda: self._tally.arrival_mark(self._now_ms())
+        rules.on_outcome = self._record_outcome
+        rules.on_applied.append(self._on_applied)
 
     def start(self) -> None:
-        """Take part from now on."""
-        gevent.spawn(self._run, self._look, LOOK_S, "rollout_failed")
-        gevent.spawn(self._run, self._confirm, CONFIRM_AGAIN_S, "confirm_failed")
+        """Start the greenlets."""
+        gevent.spawn(self._run, self._run_stage, LOOP_INTERVAL_S, "rollout_failed")
+        gevent.spawn(self._run, self._confirm, CONFIRM_RETRY_S, "confirm_failed")
 
-    def _run(self, write: Callable[[], None], pause_s: float, event: str) -> None:
+    def _run(self, action: Callable[[], None], pause_s: float, event: str) -> None:
         while True:
             try:
-                write()
+                action()
             except Exception:
                 crashed(event)
             gevent.sleep(pause_s)
 
-    # --- counting -------------------------------------------------------------------------------------------
-    def _ended(self, version: str, mark: int, kind: int, end: End, took_ms: float) -> None:
+    def _record_outcome(
+        self, version: str, mark: int, class_index: int, outcome: End, duration_ms: float
+    ) -> None:
         now = self._now_ms()
-        self._tally.record_end(version, mark, kind, end, took_ms, now)
-        self._own.ended(version, kind, end, now)
+        self._tally.record_end(version, mark, class_index, outcome, duration_ms, now)
+        self._guard.record_outcome(version, class_index, outcome, now)
 
-    def _obeyed(self) -> None:
-        """The head, or what is gone by here, changed: a new stage is counted from now on."""
+    def _on_applied(self) -> None:
+        """Handle a changed head or local version: start new counts if the stage changed, and confirm."""
         head, now = self._rules.applied_head, self._now_ms()
-        rollout = head.rollout if head is not None and head.rollout and head.rollout.goes_on else None
-        if head is not None and head.rollout is not None and rollout is None and self._tally.stage:
-            self._halted_ms = now
+        rollout = head.rollout if head is not None and head.rollout and head.rollout.is_active else None
+        if head is not None and head.rollout is not None and rollout is None and self._tally.stage_id:
+            self._last_halt_ms = now
         mark = stage_id(rollout.id, rollout.stage) if rollout is not None else 0
-        if mark != self._tally.stage:
+        if mark != self._tally.stage_id:
             bucket_ms = rollout.terms.evidence_ms / BUCKETS_PER_STAGE if rollout is not None else 1.0
-            if rollout is not None and rollout.id != rollout_of(self._tally.stage):
-                self._own.forget(rollout.version)
+            if rollout is not None and rollout.id != rollout_of_stage(self._tally.stage_id):
+                self._guard.forget(rollout.version)
             self._tally = Tally(self._rules.context.classes, mark, now, bucket_ms)
-            self._began_ms, self._told_ms, self._told = now, now, 0
-            self._broken_before, self._away_ms = self._broken(), 0.0
-            self._heard.clear()
+            self._stage_start_ms, self._last_publish_ms, self._sequence = now, now, 0
+            self._failed_decisions_before, self._store_lost_ms = self._failed_decisions(), 0.0
+            self._latest_values.clear()
         if head is not None:
-            self._own.keep([head.version, head.before, *([rollout.version] if rollout else [])])
-        if not self._rules.left:
-            self._why_left = ""
-        self._confirms.set()
+            self._guard.retain([head.version, head.before, *([rollout.version] if rollout else [])])
+        if not self._rules.left_rollout:
+            self._leave_reason = ""
+        self._confirmation_due.set()
 
-    # --- telling --------------------------------------------------------------------------------------------
     def _confirm(self) -> None:
-        """Say which head is gone by here; again until the store has it."""
-        self._confirms.wait()
-        self._confirms.clear()
-        # Guards against a fleet that confirms one head in one instant.
+        """Confirm the applied head; repeated until the store holds the confirmation."""
+        self._confirmation_due.wait()
+        self._confirmation_due.clear()
+        # Guards against a load peak from a whole fleet that confirms a head at the same moment.
         gevent.sleep(secrets.randbelow(1000) / 1000.0 * CONFIRM_SPREAD_S * len(self._member.view.members))
         head, snapshot = self._rules.applied_head, self._link.snapshot
         if head is None:
             return
-        said = Confirmation(
-            confirm.FORMAT, self._member.incarnation, head.number, self._rules.version, self._rules.left,
-            self._why_left[: confirm.MOST_WHY],
+        confirmation = Confirmation(
+            confirm.FORMAT, self._member.incarnation, head.number, self._rules.version,
+            self._rules.left_rollout, self._leave_reason[: confirm.MAX_REASON_LENGTH],
         )  # fmt: skip
-        attempt = confirm.confirm(snapshot, self._member.name, said) if snapshot is not None else None
+        attempt = (
+            confirm.confirmation_attempt(snapshot, self._member.name, confirmation)
+            if snapshot is not None
+            else None
+        )
         if snapshot is None or (attempt is not None and self._link.attempt(attempt) is not Outcome.WON):
             self._link.read_again()
-            self._confirms.set()
+            self._confirmation_due.set()
 
-    def _tell(self, rollout: Rollout, now: float) -> None:
-        """Tell what was counted, every so often; own values of other stages go."""
+    def _publish(self, rollout: Rollout, now: float) -> None:
+        """Publish the counts if they are due, and delete outdated values of this softswitch."""
         snapshot = self._link.snapshot
         if snapshot is None or not self._link.may_act():
             return
-        if now - self._told_ms < stages.publish_interval_ms(
+        if now - self._last_publish_ms < stages.publish_interval_ms(
             rollout.terms.tell_ms, len(self._member.view.members)
         ):
             return
-        self._told_ms = now
-        name, life = self._member.name, self._member.incarnation
-        value = self._tally.evidence(
-            life, self._told + 1, self._zone, self._broken() - self._broken_before, now
+        self._last_publish_ms = now
+        name, incarnation = self._member.name, self._member.incarnation
+        published = self._tally.evidence(
+            incarnation,
+            self._sequence + 1,
+            self._zone,
+            self._failed_decisions() - self._failed_decisions_before,
+            now,
         )
-        key = evidence.key_of(name, life)
+        key = evidence.evidence_key(name, incarnation)
         entry = snapshot.find(key)
-        old = _outdated(snapshot, name, life, value.stage)
-        writes = (Write(key, evidence.encode(value)), *(Write(gone, None) for gone in old))
+        outdated = _outdated_keys(snapshot, name, incarnation, published.stage)
+        writes = (Write(key, evidence.encode(published)), *(Write(old_key, None) for old_key in outdated))
         outcome = self._link.attempt(Attempt((Compare(key, entry.mod if entry else 0),), writes))
         if outcome is Outcome.WON:
-            self._told += 1
+            self._sequence += 1
         elif outcome is Outcome.LOST:
             self._link.read_again()
 
-    # --- looking --------------------------------------------------------------------------------------------
     @property
     def has_recent_halt(self) -> bool:
-        """Has a rollout just halted? No turn begins on that."""
-        return self._now_ms() - self._halted_ms < HALTED_MS
+        """Whether a rollout halted a short time ago; no maintenance slot is granted then."""
+        return self._now_ms() - self._last_halt_ms < RECENT_HALT_MS
 
-    def _look(self) -> None:
+    def _run_stage(self) -> None:
         head, now = self._rules.applied_head, self._now_ms()
         rollout = head.rollout if head is not None else None
-        if head is None or rollout is None or not rollout.goes_on:
+        if head is None or rollout is None or not rollout.is_active:
             return
-        self._guard(head, rollout)
-        self._listen(rollout, now)
+        self._check_guard(head, rollout)
+        self._observe_evidence(rollout, now)
         if not self._link.fresh:
             return
-        self._tell(rollout, now)
-        if now - self._looked_ms < rollout.terms.look_ms * min(1 + self._rank(rollout), MOST_LOOKS):
+        self._publish(rollout, now)
+        if now - self._last_judged_ms < rollout.terms.look_ms * min(
+            1 + self._rank(rollout), MAX_INTERVAL_FACTOR
+        ):
             return
-        self._looked_ms = now
-        there = self._rules.head_state
-        if there is None or there.head != head:
+        self._last_judged_ms = now
+        state = self._rules.head_state
+        if state is None or state.head != head:
             return
-        asked = Request(self._member.name, secrets.token_hex(8), "", "", int(time.time() * 1000))
-        step = steps.next_step(there, self.seen_now(rollout), asked, head.number)
-        if step is not None and self._is_time(step, rollout, now):
-            self._try(step)
+        request = Request(self._member.name, secrets.token_hex(8), "", "", int(time.time() * 1000))
+        step = steps.next_step(state, self.observe_stage(rollout), request, head.number)
+        if step is not None and self._is_due(step, rollout, now):
+            self._attempt(step)
 
     def _rank(self, rollout: Rollout) -> int:
-        """How many others judge more often than this one does; another order in each stage."""
-        acting = [one.name for one in self._member.view.acting]
-        return rank(f"{rollout.id} {rollout.stage}", self._member.name, acting)
+        """Return how many live softswitches judge more often than this one; the order differs by stage."""
+        live = [member.name for member in self._member.view.acting]
+        return rank(f"{rollout.id} {rollout.stage}", self._member.name, live)
 
-    def _is_time(self, step: steps.RolloutStep, rollout: Rollout, now: float) -> bool:
-        key = f"{rollout.id} {rollout.stage} {step.did.value}"
-        if self._tried[0] != key:
-            self._tried = (key, now)
-        acting = [one.name for one in self._member.view.acting]
-        return now - self._tried[1] >= patience_ms(key, self._member.name, acting)
+    def _is_due(self, step: steps.RolloutStep, rollout: Rollout, now: float) -> bool:
+        key = f"{rollout.id} {rollout.stage} {step.operation.value}"
+        if self._pending_step[0] != key:
+            self._pending_step = (key, now)
+        live = [member.name for member in self._member.view.acting]
+        return now - self._pending_step[1] >= patience_ms(key, self._member.name, live)
 
-    def _try(self, step: steps.RolloutStep) -> None:
-        # Asked again directly before the deed: this process may have slept since the step was computed.
+    def _attempt(self, step: steps.RolloutStep) -> None:
+        # Checks the lease again right before the write: the process may have been suspended since the step.
         outcome = self._link.attempt(step.attempt) if self._link.may_act() else Outcome.LOST
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
-            halted = step.did is Operation.HALTED
-            note(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
+            is_halt = step.operation is Operation.HALTED
+            note(
+                logging.ERROR if is_halt else logging.INFO,
+                "rollout",
+                did=step.operation.value,
+                why=step.reason,
+            )
 
-    def _listen(self, rollout: Rollout, now: float) -> None:
-        """Who told something new, and whether anybody could."""
+    def _observe_evidence(self, rollout: Rollout, now: float) -> None:
+        """Note which softswitches published new values, and how long nobody could write to the store."""
         snapshot = self._link.snapshot
-        if snapshot is None or now - self._listened_ms < LISTEN_MS:
+        if snapshot is None or now - self._last_observed_ms < OBSERVE_INTERVAL_MS:
             return
-        self._listened_ms = now
+        self._last_observed_ms = now
         if not self._link.fresh:
-            self._blind_ms = now
+            self._last_cut_off_ms = now
             return
-        told, _ = evidence.told(snapshot, self._tally.stage)
-        numbers: dict[str, int] = {}
-        for (name, life), one in told.items():
-            numbers[name] = max(numbers.get(name, 0), one.told)
-            before = self._heard.get(name)
-            if before is None or before[0] < (life, one.told):
-                self._heard[name] = ((life, one.told), now)
-        gap = self._link.freshness.gap_ms
-        if gap > rollout.terms.away_ms and steps.nobody_wrote(self._numbers, numbers):
-            self._away_ms = max(self._away_ms, gap)
-        self._link.freshness.gap_ms, self._numbers = 0.0, numbers
+        published, _ = evidence.read_evidence(snapshot, self._tally.stage_id)
+        sequences: dict[str, int] = {}
+        for (name, incarnation), latest in published.items():
+            sequences[name] = max(sequences.get(name, 0), latest.told)
+            previous = self._latest_values.get(name)
+            if previous is None or previous[0] < (incarnation, latest.told):
+                self._latest_values[name] = ((incarnation, latest.told), now)
+        gap_ms = self._link.freshness.gap_ms
+        if gap_ms > rollout.terms.away_ms and steps.nobody_published(self._sequences, sequences):
+            self._store_lost_ms = max(self._store_lost_ms, gap_ms)
+        self._link.freshness.gap_ms, self._sequences = 0.0, sequences
 
-    def seen_now(self, rollout: Rollout) -> steps.Seen:
-        """All that a step is decided from."""
+    def observe_stage(self, rollout: Rollout) -> steps.StageObservation:
+        """Return everything from which the next step is computed."""
         snapshot = self._link.snapshot
-        assert snapshot is not None, "read once at least: there is a head"
-        told, _ = evidence.told(snapshot, stage_id(rollout.id, rollout.stage))
-        heard = {
-            name: max(self._heard[name][1] if name in self._heard else self._began_ms, self._blind_ms)
+        assert snapshot is not None, "a head has been applied, so the store has been read"
+        published, _ = evidence.read_evidence(snapshot, stage_id(rollout.id, rollout.stage))
+        last_published_ms = {
+            name: max(
+                self._latest_values[name][1] if name in self._latest_values else self._stage_start_ms,
+                self._last_cut_off_ms,
+            )
             for name in rollout.members
         }
-        return steps.Seen(
-            self._now_ms(), self._began_ms, heard, told,
-            confirm.confirmations(snapshot), {one.name: one.zone for one in self._member.view.acting},
-            self._link.fresh, self._away_ms,
+        return steps.StageObservation(
+            self._now_ms(), self._stage_start_ms, last_published_ms, published,
+            confirm.confirmations(snapshot),
+            {member.name: member.zone for member in self._member.view.acting},
+            self._link.fresh, self._store_lost_ms,
         )  # fmt: skip
 
-    def _guard(self, head: Head, rollout: Rollout) -> None:
-        """Cut off under a new version, and worse than before by its own figures: go back."""
-        if self._link.fresh or self._rules.left or self._rules.version != rollout.version:
+    def _check_guard(self, head: Head, rollout: Rollout) -> None:
+        """Leave the rollout if the store is out of reach and this softswitch's own outcomes regressed."""
+        if self._link.fresh or self._rules.left_rollout or self._rules.version != rollout.version:
             return
         terms = rollout.terms
-        why = self._own.regressed(rollout.version, head.version, terms.tolerance, terms.rate)
-        if why:
+        reason = self._guard.regression(rollout.version, head.version, terms.tolerance, terms.rate)
+        if reason:
             self._counters.add("rules_left")
-            note(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
-            self._why_left = why
-            self._rules.leave(rollout.id)
+            note(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=reason)
+            self._leave_reason = reason
+            self._rules.leave_rollout(rollout.id)
 
-    # --- for operators --------------------------------------------------------------------------------------
-    def confirmation_status(self, there: HeadState) -> ConfirmationStatus:
-        """Who goes by the head already."""
+    def confirmation_status(self, state: HeadState) -> ConfirmationStatus:
+        """Return which softswitches have not yet confirmed the head."""
         view, snapshot = self._member.view, self._link.snapshot
-        said = confirm.confirmations(snapshot) if snapshot is not None else {}
-        live = {one.name: one.incarnation for one in view.acting}
-        return confirm.followed(there.head.number, live, view.missing, said)
+        confirmations = confirm.confirmations(snapshot) if snapshot is not None else {}
+        live = {member.name: member.incarnation for member in view.acting}
+        return confirm.confirmation_status(state.head.number, live, view.missing, confirmations)
 
     def confirmations(self) -> dict[str, Confirmation]:
-        """What each softswitch last said."""
+        """Return the latest confirmation of each softswitch."""
         return {} if self._link.snapshot is None else confirm.confirmations(self._link.snapshot)
 
-    def judge_current_stage(self, there: HeadState) -> tuple[Judgement, tuple[str, ...], list[Evidence]]:
-        """What the evidence of this stage says now, the keys that can't be read, and the evidence itself."""
-        rollout, snapshot = there.head.rollout, self._link.snapshot
+    def judge_current_stage(self, state: HeadState) -> tuple[Judgement, tuple[str, ...], list[Evidence]]:
+        """Judge the current stage; returns the judgement, the unreadable keys and the evidence."""
+        rollout, snapshot = state.head.rollout, self._link.snapshot
         if rollout is None or snapshot is None:
             return Judgement(), (), []
-        told, unreadable = evidence.told(snapshot, stage_id(rollout.id, rollout.stage))
-        return steps.judged_stage(rollout, there.head.version, told), unreadable, list(told.values())
+        published, unreadable = evidence.read_evidence(snapshot, stage_id(rollout.id, rollout.stage))
+        return steps.judge_stage(rollout, state.head.version, published), unreadable, list(published.values())
+
 
+def _outdated_keys(snapshot: Snapshot, name: str, incarnation: int, stage_id: int) -> list[str]:
+    """Return keys of this softswitch's earlier incarnations to delete.
 
-def _outdated(snapshot: Snapshot, name: str, life: int, stage: int) -> list[str]:
-    """Own keys of former lives that no stage will read again, and the oldest where there are too many."""
-    mine = snapshot.below(f"{evidence.EVIDENCE}{name}/")
-    former = [entry for entry in mine if entry.key != evidence.key_of(name, life)]
-    kept = [
+    These are values of other stages, and the oldest ones of this stage beyond `MAX_FORMER_INCARNATIONS`; at
+    most eight at a time."""
+    own = snapshot.below(f"{evidence.EVIDENCE_PREFIX}{name}/")
+    former = [entry for entry in own if entry.key != evidence.evidence_key(name, incarnation)]
+    in_stage = [
         entry for entry in former
-        if (one := evidence.decode(entry.value)) is not None and one.stage == stage
+        if (stored := evidence.decode(entry.value)) is not None and stored.stage == stage_id
     ]  # fmt: skip
-    gone = [entry.key for entry in former if entry not in kept]
-    return (gone + [entry.key for entry in sorted(kept, key=lambda one: one.mod)[: -evidence.KEPT_LIVES]])[:8]
+    outdated = [entry.key for entry in former if entry not in in_stage]
+    return (
+        outdated
+        + [
+            entry.key
+            for entry in sorted(in_stage, key=lambda stored: stored.mod)[: -evidence.MAX_FORMER_INCARNATIONS]
+        ]
+    )[:8]
--- a/pearloom/rollout/stages.py
+++ b/pearloom/rollout/stages.py
@@ -1,4 +1,4 @@
-"""Which softswitches are in a stage, and how often each one tells. A decision: no I/O."""
+"""Which softswitches are in a stage, and how often each of them publishes. A decision: no I/O."""
 
 from __future__ import annotations
 
@@ -7,44 +7,50 @@
 from hashlib import blake2b
 from math import ceil
 
-TELL_EACH_MS = 20.0  # x the softswitches, between two values of one: the store takes 50 a second of all
-SILENT_TELLS = 4.0  # so many values missed at least before one counts as silent
+PUBLISH_MS_PER_SOFTSWITCH = 20.0  # the store takes 50 values a second from the whole fleet
+MISSED_PUBLICATIONS = 4.0  # minimum number of missed values before a softswitch counts as silent
 
 
 def order(names: Mapping[str, str], rollout: int) -> tuple[str, ...]:
-    """All softswitches (name -> zone) in the order in which they come into the stages.
+    """Order all softswitches (name -> zone) as they join the stages.
 
-    Rendezvous hashing (Thaler, Ravishankar 1998) by the rollout's number: each stage is a beginning of this
-    order and so contains the one before, another rollout begins elsewhere, one that comes or goes moves no
-    other. Zones take turns, so that a stage is spread over them."""
+    Rendezvous hashing (Thaler, Ravishankar 1998) by the rollout's id. Each stage is a prefix of this order
+    and therefore contains the previous stage, another rollout starts with other softswitches, and one that
+    joins or leaves the fleet does not reorder the others. Zones alternate, so that a stage is spread over
+    them."""
     by_zone: dict[str, list[str]] = defaultdict(list)
-    for name in sorted(names, key=lambda name: _weight(rollout, name)):
+    for name in sorted(names, key=lambda name: _hash(rollout, name)):
         by_zone[names[name]].append(name)
-    zones = sorted(by_zone, key=lambda zone: _weight(rollout, by_zone[zone][0]))
+    zones = sorted(by_zone, key=lambda zone: _hash(rollout, by_zone[zone][0]))
     longest = max(map(len, by_zone.values()), default=0)
     return tuple(
-        by_zone[zone][turn] for turn in range(longest) for zone in zones if turn < len(by_zone[zone])
+        by_zone[zone][position]
+        for position in range(longest)
+        for zone in zones
+        if position < len(by_zone[zone])
     )
 
 
-def _weight(rollout: int, name: str) -> bytes:
+def _hash(rollout: int, name: str) -> bytes:
     return blake2b(f"{rollout} {name}".encode(), digest_size=8).digest()
 
 
 def members(names: Mapping[str, str], rollout: int, share: float) -> tuple[str, ...]:
-    """Those of a stage: this share of all (0: one), one at least, and never all, since one has to be compared
-    with."""
+    """Return the members of a stage: a share of all softswitches (0: a single one).
+
+    At least one is a member, and with two or more at least one is left out, as the control group."""
     count = min(max(ceil(share * len(names)), 1), max(len(names) - 1, 1))
     return order(names, rollout)[:count]
 
 
-def publish_interval_ms(least_ms: float, softswitches: int) -> float:
-    """How long each softswitch waits between two values.
+def publish_interval_ms(min_ms: float, softswitches: int) -> float:
+    """Return the time between two published values of one softswitch, in ms.
 
-    Guards against a store that bears the square of the fleet: each value is told to every softswitch."""
-    return max(least_ms, TELL_EACH_MS * softswitches)
+    Guards against a load on the store that grows with the square of the fleet's size: each value is sent to
+    every softswitch."""
+    return max(min_ms, PUBLISH_MS_PER_SOFTSWITCH * softswitches)
 
 
-def silent_ms(told_ms: float, least_ms: float, softswitches: int) -> float:
-    """After so long without a value a softswitch has told nothing."""
-    return max(told_ms, SILENT_TELLS * publish_interval_ms(least_ms, softswitches))
+def silence_limit_ms(min_silent_ms: float, min_interval_ms: float, softswitches: int) -> float:
+    """Return the time without a published value, in ms, after which a softswitch counts as silent."""
+    return max(min_silent_ms, MISSED_PUBLICATIONS * publish_interval_ms(min_interval_ms, softswitches))
--- a/pearloom/rollout/steps.py
+++ b/pearloom/rollout/steps.py
@@ -1,19 +1,20 @@
 """The next step of a rollout, as an attempt at the store. A decision: no I/O, float ms of a steady clock.
 
-| what is seen, first row that holds | step |
+| condition; the first row that holds applies | step |
 | --- | --- |
-| no rollout, or it is halted, or what was read is old | none |
+| no rollout, or it is halted, or the data read from the store is stale | none |
 | nobody could write to the store for `away_ms` | halt |
-| a softswitch of the stage went back by its own guard | halt |
-| a decision broke under the new version | halt |
-| a softswitch of the stage told nothing for `silent_ms` | halt |
-| a bad end regressed (`judge.py`) | halt |
-| `evidence_ms` is over, with fewer than `least_calls` under the new version | halt |
-| `soak_ms` is over with enough calls, every one of the stage confirmed, a stage follows | widen |
+| a member of the stage left the rollout by its own guard | halt |
+| a decision failed at a member of the stage | halt |
+| a member of the stage published nothing for `silent_ms` | halt |
+| a bad outcome regressed (`judge.py`) | halt |
+| `evidence_ms` has passed with fewer than `least_calls` calls under the new version | halt |
+| `soak_ms` has passed with enough calls, all members confirmed, a further stage follows | widen |
 | the same at the last stage | complete |
 
-Every softswitch computes the same step and tries it; the compare on the head lets one through, and one that
-slept holds an old head and is refused. The clocks here run from when this softswitch first saw the stage.
+Every softswitch computes the same step and attempts it. The compare on the head lets only one attempt
+succeed; a process that was suspended has an outdated head and is refused. Durations are measured from the
+moment at which this softswitch first read the stage.
 """
 
 from __future__ import annotations
@@ -30,105 +31,117 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What this softswitch sees of a stage; `since` is when it saw it begin.
+class StageObservation:
+    """What this softswitch knows of a stage.
 
-    `heard_ms`: when each softswitch of the stage was last seen to tell something new, or could not have been
-    seen to, as this one was cut off itself."""
+    `since_ms` is when it first read the stage. `last_published_ms` is when it last read a new value from each
+    member of the stage, or when it last could not read any because it was itself cut off from the store."""
 
     now_ms: float
     since_ms: float
-    heard_ms: Mapping[str, float]
-    told: Mapping[tuple[str, int], Evidence]
-    said: Mapping[str, Confirmation]
-    zones: Mapping[str, str]  # of all softswitches that are live, by name
-    fresh: bool = True
-    away_ms: float = 0.0  # how long nobody at all could write to the store, in this stage
+    last_published_ms: Mapping[str, float]
+    evidence: Mapping[tuple[str, int], Evidence]
+    confirmations: Mapping[str, Confirmation]
+    zones: Mapping[str, str]  # by name of each live softswitch
+    is_fresh: bool = True
+    store_lost_ms: float = 0.0  # longest time in this stage in which nobody could write to the store
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutStep:
-    """One step to try: what it does, why, and the transaction."""
+    """A step to attempt, with its reason and its transaction."""
 
-    did: Operation
-    why: str
+    operation: Operation
+    reason: str
     attempt: Attempt
 
 
-def next_step(there: HeadState, seen: Seen, asked: Request, number_seen: int) -> RolloutStep | None:
-    """The one step to try now, or None. `number_seen`: the highest head that was ever obeyed here."""
-    rollout = there.head.rollout
-    if rollout is None or not rollout.goes_on or not there.readable or not seen.fresh:
+def next_step(
+    state: HeadState, observation: StageObservation, request: Request, highest_seen: int
+) -> RolloutStep | None:
+    """Return the step to attempt now, if any; `highest_seen` is the newest head's number applied here."""
+    rollout = state.head.rollout
+    if rollout is None or not rollout.is_active or not state.is_readable or not observation.is_fresh:
         return None
-    judged = judged_stage(rollout, there.head.version, seen.told)
-    why = why_halt(rollout, seen, judged)
-    if why:
-        return RolloutStep(Operation.HALTED, why, halt(there, _because(asked, why), number_seen))
-    if not _enough(rollout, seen, judged):
+    judgement = judge_stage(rollout, state.head.version, observation.evidence)
+    reason = halt_reason(rollout, observation, judgement)
+    if reason:
+        return RolloutStep(Operation.HALTED, reason, halt(state, _with_reason(request, reason), highest_seen))
+    if not _is_passed(rollout, observation, judgement):
         return None
-    why = f"{judged.calls_new} calls under the new version, nothing worse shown"
-    if rollout.last:
-        return RolloutStep(Operation.COMPLETED, why, complete(there, _because(asked, why), number_seen))
-    wider = stages.members(seen.zones, rollout.id, rollout.stages[rollout.stage + 1])
-    return RolloutStep(Operation.WIDENED, why, widen(there, wider, _because(asked, why), number_seen))
+    reason = f"{judgement.calls_new} calls under the new version, no regression shown"
+    if rollout.is_last_stage:
+        return RolloutStep(
+            Operation.COMPLETED, reason, complete(state, _with_reason(request, reason), highest_seen)
+        )
+    wider = stages.members(observation.zones, rollout.id, rollout.stages[rollout.stage + 1])
+    return RolloutStep(
+        Operation.WIDENED, reason, widen(state, wider, _with_reason(request, reason), highest_seen)
+    )
 
 
-def judged_stage(rollout: Rollout, old: str, told: Mapping[tuple[str, int], Evidence]) -> Judgement:
-    """What the evidence of a rollout's stage says, against the version in force."""
-    return judge(told, rollout.version, old, rollout.terms.tolerance)
+def judge_stage(rollout: Rollout, old: str, evidence: Mapping[tuple[str, int], Evidence]) -> Judgement:
+    """Judge the evidence of a rollout's stage against the version in force."""
+    return judge(evidence, rollout.version, old, rollout.terms.tolerance)
 
 
-def _because(asked: Request, why: str) -> Request:
-    return Request(asked.by, asked.tag, why, asked.author, asked.at_ms)
+def _with_reason(request: Request, reason: str) -> Request:
+    return Request(request.by, request.tag, reason, request.author, request.at_ms)
 
 
 def stage_rate(rollout: Rollout) -> float:
-    """The rate of false halts is shared out over the stages: over all of them it is `rate` at most."""
+    """Return the probability of a false halt per stage; over all stages it is at most `rate`."""
     return rollout.terms.rate / len(rollout.stages)
 
 
-def why_halt(rollout: Rollout, seen: Seen, judged: Judgement) -> str:
-    """The one reason to halt, with its figures; empty where there is none."""
-    terms, lasted = rollout.terms, seen.now_ms - seen.since_ms
-    if seen.away_ms > terms.away_ms:
-        return f"nobody could write to the store for {seen.away_ms / 1000:.0f} s"
+def halt_reason(rollout: Rollout, observation: StageObservation, judgement: Judgement) -> str:
+    """Return the reason to halt, with its figures; empty if there is none."""
+    terms, elapsed_ms = rollout.terms, observation.now_ms - observation.since_ms
+    if observation.store_lost_ms > terms.away_ms:
+        return f"nobody could write to the store for {observation.store_lost_ms / 1000:.0f} s"
     for name in rollout.members:
-        said = seen.said.get(name)
-        if said is not None and said.left == rollout.id:
-            return f"{name} went back by itself: {said.why}"
-    for (name, _), one in sorted(seen.told.items()):
-        if one.broken and name in rollout.members:
-            return f"{one.broken} decisions broke at {name}"
-    most = stages.silent_ms(terms.silent_ms, terms.tell_ms, len(seen.zones))
+        confirmation = observation.confirmations.get(name)
+        if confirmation is not None and confirmation.left == rollout.id:
+            return f"{name} went back by itself: {confirmation.why}"
+    for (name, _), evidence in sorted(observation.evidence.items()):
+        if evidence.broken and name in rollout.members:
+            return f"{evidence.broken} decisions failed at {name}"
+    limit_ms = stages.silence_limit_ms(terms.silent_ms, terms.tell_ms, len(observation.zones))
     for name in rollout.members:
-        silent = seen.now_ms - max(seen.heard_ms.get(name, seen.since_ms), seen.since_ms)
-        if silent > most:
-            return f"{name} has told nothing for {silent / 1000:.1f} s"
-    if judged.has_regressed(stage_rate(rollout)) and judged.worst is not None:
-        return judged.worst.describe(stage_rate(rollout))
-    if lasted > terms.evidence_ms and not _told_enough(rollout, judged):
-        few = f"{judged.calls_new} calls under the new version in {lasted / 1000:.0f} s"
-        return f"{few}, {terms.least_calls} wanted"
+        silent_ms = observation.now_ms - max(
+            observation.last_published_ms.get(name, observation.since_ms), observation.since_ms
+        )
+        if silent_ms > limit_ms:
+            return f"{name} has told nothing for {silent_ms / 1000:.1f} s"
+    if judgement.has_regressed(stage_rate(rollout)) and judgement.worst is not None:
+        return judgement.worst.describe(stage_rate(rollout))
+    if elapsed_ms > terms.evidence_ms and not _has_enough_calls(rollout, judgement):
+        too_few = f"{judgement.calls_new} calls under the new version in {elapsed_ms / 1000:.0f} s"
+        return f"{too_few}, {terms.least_calls} required"
     return ""
 
 
-def _told_enough(rollout: Rollout, judged: Judgement) -> bool:
-    return judged.calls_new >= rollout.terms.least_calls
+def _has_enough_calls(rollout: Rollout, judgement: Judgement) -> bool:
+    return judgement.calls_new >= rollout.terms.least_calls
 
 
-def _enough(rollout: Rollout, seen: Seen, judged: Judgement) -> bool:
-    if seen.now_ms - seen.since_ms < rollout.terms.soak_ms or not _told_enough(rollout, judged):
+def _is_passed(rollout: Rollout, observation: StageObservation, judgement: Judgement) -> bool:
+    if observation.now_ms - observation.since_ms < rollout.terms.soak_ms or not _has_enough_calls(
+        rollout, judgement
+    ):
         return False
-    told = {name for name, _ in seen.told}
+    publishers = {name for name, _ in observation.evidence}
     return all(
-        name in told and (said := seen.said.get(name)) is not None and said.version == rollout.version
+        name in publishers
+        and (confirmation := observation.confirmations.get(name)) is not None
+        and confirmation.version == rollout.version
         for name in rollout.members
     )
 
 
-def nobody_wrote(before: Mapping[str, int], after: Mapping[str, int]) -> bool:
-    """Could nobody write to the store between these two looks? `told` numbers of the others, by name.
+def nobody_published(before: Mapping[str, int], after: Mapping[str, int]) -> bool:
+    """Whether nobody could write to the store between two reads; both hold sequence numbers by name.
 
-    Guards against taking the own cut link for a lost store: then the others went on telling. One value each
-    may have been on its way."""
-    return all(after.get(name, told) <= told + 1 for name, told in before.items())
+    Guards against mistaking a broken link of this softswitch for a lost store: in that case the others kept
+    publishing. One value of each softswitch may have been in transit."""
+    return all(after.get(name, sequence) <= sequence + 1 for name, sequence in before.items())
--- a/pearloom/rules/__init__.py
+++ b/pearloom/rules/__init__.py
@@ -1,13 +1,13 @@
-"""Routing rules of the whole fleet: typed records, their versions, the head, and what a call is told by them.
+"""Routing rules of the whole fleet: typed records, versions, the head, and the compiled routing table.
 
-Loaded only where the operator's file names a store.
+Loaded only if the operator's file names a store.
 """
 
-from pearloom.rules.head import Head, HeadState, Request, Rollout, Terms, read_there
-from pearloom.rules.records import EMPTY, Rule, RulesError, RuleSet, version_of
+from pearloom.rules.head import Head, HeadState, Request, Rollout, RolloutTerms, read_head_state
+from pearloom.rules.records import EMPTY_VERSION, Rule, RulesError, RuleSet, version_of
 from pearloom.rules.settings import RolloutSettings, RulesSettings, read_rules_settings
 
 __all__ = [
-    "EMPTY", "Head", "HeadState", "Request", "Rollout", "RolloutSettings", "Rule", "RuleSet", "RulesError",
-    "RulesSettings", "Terms", "read_rules_settings", "read_there", "version_of",
+    "EMPTY_VERSION", "Head", "HeadState", "Request", "Rollout", "RolloutSettings", "RolloutTerms", "Rule",
+    "RuleSet", "RulesError", "RulesSettings", "read_head_state", "read_rules_settings", "version_of",
 ]  # fmt: skip
--- a/pearloom/rules/check.py
+++ b/pearloom/rules/check.py
@@ -1,7 +1,7 @@
-"""Rules checked whole before anyone obeys them: every error with its path. A decision: no I/O.
+"""Validation of a whole rule set before it is applied; each error has its path. A decision: no I/O.
 
-Guards against a rule that names what is not there and so silently never matches, against one that leaves a
-class nothing, and against sets whose cost a call would not be bounded.
+Guards against a rule that names something unknown and therefore silently never matches, against a rule that
+leaves a class without cells, and against rule sets whose cost per call has no bound.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from difflib import get_close_matches
 
 from pearloom.rules.records import (
+    MAX_CAPS,
+    MAX_NAMES,
     MAX_RULES,
-    MOST_CAPS,
-    MOST_NAMES,
     Cap,
     Only,
     Rule,
@@ -25,14 +25,14 @@
 )
 
 _NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
-MOST_CELL = 65_535
-FACTORS = (0.01, 100.0)
-MOST_CHOICES = 256  # first choices named in one set
+MAX_CELL = 65_535
+FACTOR_RANGE = (0.01, 100.0)
+MAX_FIRST_CHOICES = 256  # first choices named in one rule set
 
 
 @dataclass(frozen=True, slots=True)
 class KnownNames:
-    """What there is to be named; `cells` of each class, empty: every cell."""
+    """The names that rules may use; `cells` by class, an empty entry allows every cell."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -41,78 +41,80 @@
 
 
 def find_errors(rules: RuleSet, known: KnownNames) -> list[str]:
-    """Everything that is wrong, each in a line that begins with its path; empty: it can be accepted."""
-    return list(_faults(rules, known))
+    """Return one line for each error, beginning with its path; empty if the rules are valid."""
+    return list(_errors(rules, known))
 
 
-def _faults(rules: RuleSet, known: KnownNames) -> Iterator[str]:
+def _errors(rules: RuleSet, known: KnownNames) -> Iterator[str]:
     if len(rules.rules) > MAX_RULES:
         yield f"$.rules: {len(rules.rules)} rules, {MAX_RULES} at most"
         return
-    doubled = {name for name, count in Counter(rule.name for rule in rules.rules).items() if count > 1}
-    for at, rule in enumerate(rules.rules):
-        path = f"$.rules[{at}]"
+    duplicates = {name for name, count in Counter(rule.name for rule in rules.rules).items() if count > 1}
+    for index, rule in enumerate(rules.rules):
+        path = f"$.rules[{index}]"
         if not _NAME.fullmatch(rule.name):
-            yield f"{path}.name: 1 to 64 of letters, digits, dots and dashes, not {rule.name[:40]!r}"
-        elif rule.name in doubled:
+            yield f"{path}.name: has to be 1 to 64 letters, digits, dots and dashes, not {rule.name[:40]!r}"
+        elif rule.name in duplicates:
             yield f"{path}.name: {rule.name!r} is the name of more than one rule"
-        yield from _match_faults(rule, f"{path}.match", known)
-        yield from _effect_faults(rule, f"{path}.effect", known)
+        yield from _match_errors(rule, f"{path}.match", known)
+        yield from _effect_errors(rule, f"{path}.effect", known)
     caps = sum(isinstance(rule.effect, Cap) for rule in rules.rules)
-    if caps > MOST_CAPS:
-        yield f"$.rules: {caps} caps, {MOST_CAPS} at most"
+    if caps > MAX_CAPS:
+        yield f"$.rules: {caps} caps, {MAX_CAPS} at most"
     choices = {choice for rule in rules.rules for choice in rule.match.first_choice}
-    if len(choices) > MOST_CHOICES:
-        yield f"$.rules: {len(choices)} first choices named, {MOST_CHOICES} at most"
+    if len(choices) > MAX_FIRST_CHOICES:
+        yield f"$.rules: {len(choices)} first choices named, {MAX_FIRST_CHOICES} at most"
 
 
-def _match_faults(rule: Rule, path: str, known: KnownNames) -> Iterator[str]:
-    yield from _names(rule.match.classes, f"{path}.class", "class", known.classes)
-    yield from _names(rule.match.tenant, f"{path}.tenant", "tenant", known.tenants)
-    yield from _names(rule.match.zone, f"{path}.zone", "zone", known.zones)
-    yield from _cells(rule.match.first_choice, f"{path}.first_choice")
+def _match_errors(rule: Rule, path: str, known: KnownNames) -> Iterator[str]:
+    yield from _name_errors(rule.match.classes, f"{path}.class", "class", known.classes)
+    yield from _name_errors(rule.match.tenant, f"{path}.tenant", "tenant", known.tenants)
+    yield from _name_errors(rule.match.zone, f"{path}.zone", "zone", known.zones)
+    yield from _cell_errors(rule.match.first_choice, f"{path}.first_choice")
 
 
-def _effect_faults(rule: Rule, path: str, known: KnownNames) -> Iterator[str]:
+def _effect_errors(rule: Rule, path: str, known: KnownNames) -> Iterator[str]:
     effect = rule.effect
-    yield from _names(effect.zones, f"{path}.zones", "zone", known.zones)
+    yield from _name_errors(effect.zones, f"{path}.zones", "zone", known.zones)
     if isinstance(effect, Spill):
         if not effect.zones:
-            yield f"{path}.zones: an order of at least one zone"
+            yield f"{path}.zones: has to list at least one zone"
         return
-    yield from _cells(effect.cells, f"{path}.cells")
+    yield from _cell_errors(effect.cells, f"{path}.cells")
     if not effect.cells and not effect.zones:
         yield f"{path}: names neither cells nor zones"
-    if isinstance(effect, Weigh) and not FACTORS[0] <= effect.factor <= FACTORS[1]:
-        yield f"{path}.factor: from {FACTORS[0]:g} to {FACTORS[1]:g}, not {effect.factor:g}"
+    if isinstance(effect, Weigh) and not FACTOR_RANGE[0] <= effect.factor <= FACTOR_RANGE[1]:
+        yield f"{path}.factor: from {FACTOR_RANGE[0]:g} to {FACTOR_RANGE[1]:g}, not {effect.factor:g}"
     if isinstance(effect, Cap) and not 0 <= effect.share <= 1:
         yield f"{path}.share: from 0 to 1, not {effect.share:g}"
     if isinstance(effect, Only) and not effect.zones:
-        yield from _left_over(rule, effect, path, known)
+        yield from _empty_class_errors(rule, effect, path, known)
 
 
-def _left_over(rule: Rule, effect: Only, path: str, known: KnownNames) -> Iterator[str]:
-    for name, cells in zip(known.classes, known.cells, strict=False):
-        named = not rule.match.classes or name in rule.match.classes
-        if named and cells and not set(cells) & set(effect.cells):
-            yield f"{path}.cells: leave the class {name!r} no cell that it may use"
+def _empty_class_errors(rule: Rule, effect: Only, path: str, known: KnownNames) -> Iterator[str]:
+    for class_name, cells in zip(known.classes, known.cells, strict=False):
+        is_matched = not rule.match.classes or class_name in rule.match.classes
+        if is_matched and cells and not set(cells) & set(effect.cells):
+            yield f"{path}.cells: leave the class {class_name!r} no cell that it may use"
 
 
-def _names(names: Sequence[str], path: str, what: str, known: tuple[str, ...]) -> Iterator[str]:
-    if len(names) > MOST_NAMES:
-        yield f"{path}: {len(names)} names, {MOST_NAMES} at most"
-    for at, name in enumerate(names[:MOST_NAMES]):
+def _name_errors(names: Sequence[str], path: str, kind: str, known: tuple[str, ...]) -> Iterator[str]:
+    if len(names) > MAX_NAMES:
+        yield f"{path}: {len(names)} names, {MAX_NAMES} at most"
+    for index, name in enumerate(names[:MAX_NAMES]):
         if name not in known:
-            close = get_close_matches(name, known, 1)
+            similar = get_close_matches(name, known, 1)
             hint = (
-                f"; did you mean {close[0]!r}?" if close else f": none of {', '.join(known[:20]) or 'none'}"
+                f"; did you mean {similar[0]!r}?"
+                if similar
+                else f"; known: {', '.join(known[:20]) or 'none'}"
             )
-            yield f"{path}[{at}]: no {what} {name[:40]!r}{hint}"
+            yield f"{path}[{index}]: no {kind} {name[:40]!r}{hint}"
 
 
-def _cells(cells: Sequence[int], path: str) -> Iterator[str]:
-    if len(cells) > MOST_NAMES:
-        yield f"{path}: {len(cells)} numbers, {MOST_NAMES} at most"
-    for at, cell in enumerate(cells[:MOST_NAMES]):
-        if not 0 <= cell <= MOST_CELL:
-            yield f"{path}[{at}]: from 0 to {MOST_CELL}, not {cell}"
+def _cell_errors(cells: Sequence[int], path: str) -> Iterator[str]:
+    if len(cells) > MAX_NAMES:
+        yield f"{path}: {len(cells)} numbers, {MAX_NAMES} at most"
+    for index, cell in enumerate(cells[:MAX_NAMES]):
+        if not 0 <= cell <= MAX_CELL:
+            yield f"{path}[{index}]: from 0 to {MAX_CELL}, not {cell}"
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -1,23 +1,24 @@
-"""The head of the rules: which version is in force, what is being rolled out, each step to the next head.
+"""The rules head: the version in force, the rollout under way, and each step to the next head.
 
-A decision: no I/O, time passed in. One key, `rules/head`, holds all that there must be one order of; each
-step compares with its revision, adds one to its number and writes an entry of the log. So there is one
-history, of two steps tried at once one is taken, and a head that was seen is never left for a lower one.
+A decision: no I/O, time passed in. The key `rules/head` holds all state whose changes need a single order.
+Each step compares the key's revision, increments the head's number and appends a log entry. The history is
+therefore linear, only one of two concurrent steps succeeds, and a softswitch never goes back to a head with a
+lower number.
 
-| head | step | becomes |
+| head | step | next head |
 | --- | --- | --- |
 | no rollout, or a halted one | propose | a rollout of the new version at its first stage |
-| no rollout, or a halted one | set (at once) | the new version, the one before kept for an undo |
-| a rollout that goes on | propose, set | refused: the first one is named |
-| a rollout that goes on | widen | more members in its stage, those before among them |
-| a rollout that goes on | halt | no wider; its members back at the version before, unless it says stay |
-| a rollout that goes on, at its last stage | complete | its version, the one before kept for an undo |
-| a rollout, going on or halted | undo | no rollout; the version as it was |
-| no rollout | undo | the version before; an undo of that is a redo |
-| any | undo to a named version | that version, any rollout ended |
-
-Guards against two operators of whom one believes in an edit that is not there, against a rollout that goes
-wider after it was halted, and against a store that lost its last writes and is obeyed as if it had not.
+| no rollout, or a halted one | set (at once) | the new version; the previous one is kept for an undo |
+| an active rollout | propose, set | refused: the error names the active rollout |
+| an active rollout | widen | the next stage, with more members; the earlier ones stay in it |
+| an active rollout | halt | no further stages; members return to the previous version unless `stay` is set |
+| an active rollout at its last stage | complete | its version; the previous one is kept for an undo |
+| an active or halted rollout | undo | no rollout; the version in force stays |
+| no rollout | undo | the previous version; a second undo is a redo |
+| any | undo to a named version | that version; a rollout ends |
+
+Guards against an operator whose edit is lost to a concurrent one without notice, against a rollout that
+widens after it was halted, and against following a store that lost its last writes.
 """
 
 from __future__ import annotations
@@ -31,17 +32,25 @@
 
 from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
 from pearloom.coordination.values import decoded
-from pearloom.rules.records import EMPTY, FORMAT, RulesError, RuleSet, canonical, read_rules, version_of
-
-HEAD, LOG, VERSIONS = "rules/head", "rules/log/", "rules/versions/"
-KEPT = 64  # entries of the log, and the versions that they and the head name
-MOST_MEMBERS = 2_000
+from pearloom.rules.records import (
+    EMPTY_VERSION,
+    FORMAT,
+    RulesError,
+    RuleSet,
+    canonical,
+    decode_rules,
+    version_of,
+)
+
+HEAD_KEY, LOG_PREFIX, VERSIONS_PREFIX = "rules/head", "rules/log/", "rules/versions/"
+MAX_LOG_ENTRIES = 64  # the versions named by these entries and by the head are kept too
+MAX_MEMBERS = 2_000
 MAX_STAGES = 16
-_VERSION = re.compile(rf"{EMPTY}|[0-9a-f]{{32}}")
+_VERSION = re.compile(rf"{EMPTY_VERSION}|[0-9a-f]{{32}}")
 
 
 class Operation(Enum):
-    """What an entry of the log did."""
+    """The step that a log entry records."""
 
     SET = "set"
     PROPOSED = "proposed"
@@ -51,63 +60,68 @@
     UNDONE = "undone"
 
 
-class Terms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """By what a rollout is judged: told with it, so that every softswitch judges alike. Times in ms."""
+class RolloutTerms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The criteria of a rollout, stored with it so that every softswitch judges it alike. Times in ms."""
 
-    soak_ms: float = 120_000.0  # of each stage at least
-    evidence_ms: float = 900_000.0  # of each stage at most: what is not shown by then is not going to be
-    least_calls: int = 200  # under the new version, in each stage
-    tell_ms: float = 1_000.0  # how often each softswitch publishes what it counted
-    look_ms: float = 2_000.0  # how often what was published is judged
-    silent_ms: float = 15_000.0  # a member of the stage that tells nothing for so long halts it
-    away_ms: float = 30_000.0  # so long without a store that anybody can write to halts it
-    rate: float = 0.01  # of false halts, over the whole of a rollout
-    tolerance: float = 1.25  # ratio of the rates of a bad end, new to old, that is still no harm
+    soak_ms: float = 120_000.0  # minimum duration of each stage
+    evidence_ms: float = 900_000.0  # maximum duration of each stage: later evidence is not expected
+    least_calls: int = 200  # minimum number of calls under the new version in each stage
+    tell_ms: float = 1_000.0  # interval at which each softswitch publishes its counts
+    look_ms: float = 2_000.0  # interval at which the published counts are judged
+    silent_ms: float = 15_000.0  # a member of the stage that publishes nothing for so long halts the rollout
+    away_ms: float = 30_000.0  # a store that nobody can write to for so long halts the rollout
+    rate: float = 0.01  # accepted probability of a false halt, over the whole rollout
+    tolerance: float = 1.25  # highest harmless ratio of the rates of a bad outcome, new version to old
 
 
 class Rollout(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A version on its way over the fleet. `id` is the head's number at which it began."""
+    """A version that is being rolled out. `id` is the number of the head that started the rollout."""
 
     id: int
     version: str
-    stages: tuple[float, ...]  # shares of the softswitches, growing; 0: one of them
+    stages: tuple[float, ...]  # increasing shares of the softswitches; 0: a single softswitch
     stage: int = 0
-    members: tuple[str, ...] = ()  # of the stage
-    terms: Terms = Terms()
-    stay: bool = False  # halted, its members keep the new version
-    halted: str = ""  # why; empty while it goes on
+    members: tuple[str, ...] = ()  # softswitches in the current stage
+    terms: RolloutTerms = RolloutTerms()
+    stay: bool = False  # members keep the new version after a halt
+    halted: str = ""  # reason of the halt; empty while the rollout is active
 
     @property
-    def goes_on(self) -> bool:
-        """Is it not halted?"""
+    def is_active(self) -> bool:
+        """Whether the rollout has not been halted."""
         return not self.halted
 
     @property
-    def last(self) -> bool:
-        """Is it at its last stage?"""
+    def is_last_stage(self) -> bool:
+        """Whether the rollout has reached its last stage."""
         return self.stage + 1 >= len(self.stages)
 
 
 class Head(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is in force. `tag` tells who wrote it, so that a lost reply can be settled."""
+    """The version in force and the rollout. `tag` identifies the writer, to resolve a lost reply.
+
+    `number` grows by one with each step, `before` is the previous version."""
 
     format: int = FORMAT
     number: int = 0
-    version: str = EMPTY
-    before: str = EMPTY
+    version: str = EMPTY_VERSION
+    before: str = EMPTY_VERSION
     rollout: Rollout | None = None
     tag: str = ""
 
-    def runs(self, member: str) -> str:
-        """The version that this softswitch is to go by."""
+    def version_at(self, member: str) -> str:
+        """Return the version that this softswitch has to apply."""
         rollout = self.rollout
-        if rollout is not None and member in rollout.members and (rollout.goes_on or rollout.stay):
+        if rollout is not None and member in rollout.members and (rollout.is_active or rollout.stay):
             return rollout.version
         return self.version
 
 
-class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One step of history. `at_ms`: the wall clock of the softswitch that wrote it, for people alone."""
+class LogEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One step of the history.
+
+    `at_ms` is the wall clock of the softswitch that wrote the entry; it is shown to operators and decides
+    nothing. `write` is the step, `by` the softswitch, `author` the operator."""
 
     format: int
     number: int
@@ -123,222 +137,240 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Who asks for a step, and why."""
+    """The origin of a step and the reason for it."""
 
-    by: str  # the softswitch that writes it
-    tag: str  # drawn for this step alone
+    by: str  # the softswitch that writes the step
+    tag: str  # random and unique to this step
     reason: str
-    author: str = ""  # the operator; empty where the softswitches do it themselves
+    author: str = ""  # the operator; empty for a step that a softswitch takes by itself
     at_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class HeadState:
-    """What the store holds of the head and its history; `unreadable`: keys of a newer format, or spoilt."""
+    """The head and its history as stored; `unreadable` lists keys that are corrupt or of a newer format."""
 
     head: Head = field(default_factory=Head)
-    mod: int = 0
-    value: bytes | None = None  # of the head's key, as it stands there
-    log: tuple[Entry, ...] = ()
+    mod_revision: int = 0
+    value: bytes | None = None  # the stored bytes of the head's key
+    log: tuple[LogEntry, ...] = ()
     unreadable: tuple[str, ...] = ()
     versions: tuple[str, ...] = ()
-    beyond: tuple[str, ...] = ()  # keys of entries that nothing will ever read again
+    orphaned_log_keys: tuple[str, ...] = ()  # keys of log entries numbered above the head
 
     @property
-    def readable(self) -> bool:
-        """Is the head itself what this version of pearloom can read?"""
-        return HEAD not in self.unreadable
+    def is_readable(self) -> bool:
+        """Whether this version of pearloom can read the head itself."""
+        return HEAD_KEY not in self.unreadable
 
 
-def read_there(snapshot: Snapshot) -> HeadState:
-    """Read the head and its log; what can't be read is named."""
+def read_head_state(snapshot: Snapshot) -> HeadState:
+    """Read the head and its log; keys that can't be read are listed in `unreadable`."""
     unreadable: list[str] = []
-    entry, head = snapshot.find(HEAD), Head()
+    entry, head = snapshot.find(HEAD_KEY), Head()
     if entry is not None:
-        found = decoded(entry.value, Head, FORMAT)
-        if found is None or not _sound(found):
-            unreadable.append(HEAD)
+        decoded_head = decoded(entry.value, Head, FORMAT)
+        if decoded_head is None or not _is_valid(decoded_head):
+            unreadable.append(HEAD_KEY)
         else:
-            head = found
-    log: list[Entry] = []
-    for one in snapshot.below(LOG):
-        step = decoded(one.value, Entry, FORMAT)
-        if step is None or one.key != _log_key(step.number):
-            unreadable.append(one.key)
+            head = decoded_head
+    log: list[LogEntry] = []
+    for stored in snapshot.below(LOG_PREFIX):
+        log_entry = decoded(stored.value, LogEntry, FORMAT)
+        if log_entry is None or stored.key != _log_key(log_entry.number):
+            unreadable.append(stored.key)
         else:
-            log.append(step)
-    versions = tuple(one.key.removeprefix(VERSIONS) for one in snapshot.below(VERSIONS))
-    beyond = tuple(_log_key(one.number) for one in log if one.number > head.number)
-    mod, value = (entry.mod, entry.value) if entry else (0, None)
-    return HeadState(head, mod, value, tuple(log), tuple(unreadable), versions, beyond)
+            log.append(log_entry)
+    versions = tuple(stored.key.removeprefix(VERSIONS_PREFIX) for stored in snapshot.below(VERSIONS_PREFIX))
+    orphaned = tuple(_log_key(logged.number) for logged in log if logged.number > head.number)
+    mod_revision, value = (entry.mod, entry.value) if entry else (0, None)
+    return HeadState(head, mod_revision, value, tuple(log), tuple(unreadable), versions, orphaned)
 
 
-def _sound(head: Head) -> bool:
+def _is_valid(head: Head) -> bool:
     rollout = head.rollout
-    named = (head.version, head.before, *([rollout.version] if rollout else []))
-    if head.number < 0 or not all(_VERSION.fullmatch(version) for version in named):
+    versions = (head.version, head.before, *([rollout.version] if rollout else []))
+    if head.number < 0 or not all(_VERSION.fullmatch(version) for version in versions):
         return False
     if rollout is None:
         return True
     terms = rollout.terms
     return (
         0 <= rollout.stage < len(rollout.stages) <= MAX_STAGES
-        and len(rollout.members) <= MOST_MEMBERS
+        and len(rollout.members) <= MAX_MEMBERS
         and min(terms.tell_ms, terms.look_ms, terms.evidence_ms, terms.silent_ms, terms.away_ms) >= 50.0
         and 0.0 < terms.rate < 1.0 <= terms.tolerance
     )
 
 
 def rules_of(snapshot: Snapshot, version: str) -> RuleSet | None:
-    """The rules of a version, from the store; None where they are not there or not what the name says."""
-    if version == EMPTY:
+    """Return the stored rules of a version; None if they are missing or don't match its name."""
+    if version == EMPTY_VERSION:
         return RuleSet()
-    entry = snapshot.find(VERSIONS + version)
-    return read_rules(entry.value, version) if entry is not None else None
+    entry = snapshot.find(VERSIONS_PREFIX + version)
+    return decode_rules(entry.value, version) if entry is not None else None
 
 
 def _log_key(number: int) -> str:
-    return f"{LOG}{number:010d}"
+    return f"{LOG_PREFIX}{number:010d}"
 
 
-# --- Steps --------------------------------------------------------------------------------------------------
 def _step(
-    there: HeadState, head: Head, write: Operation, asked: Request, seen: int, put: Iterable[Write] = ()
+    state: HeadState,
+    head: Head,
+    operation: Operation,
+    request: Request,
+    highest_seen: int,
+    more_writes: Iterable[Write] = (),
 ) -> Attempt:
-    """The transaction to the next head. `seen`: the highest number that anyone is known to have seen."""
-    number = max(there.head.number, seen) + 1
-    head = msgspec.structs.replace(head, number=number, tag=asked.tag)
+    """Build the transaction to the next head; its number exceeds `highest_seen`, the highest one seen."""
+    number = max(state.head.number, highest_seen) + 1
+    head = msgspec.structs.replace(head, number=number, tag=request.tag)
     if head.rollout is not None and head.rollout.id == 0:
         head = msgspec.structs.replace(head, rollout=msgspec.structs.replace(head.rollout, id=number))
-    entry = Entry(
-        FORMAT, number, write, head.rollout.version if head.rollout else head.version, there.head.version,
-        asked.by, asked.author, asked.reason, asked.at_ms, asked.tag,
+    entry = LogEntry(
+        FORMAT, number, operation, head.rollout.version if head.rollout else head.version, state.head.version,
+        request.by, request.author, request.reason, request.at_ms, request.tag,
     )  # fmt: skip
     writes = [
-        Write(HEAD, msgspec.json.encode(head)),
+        Write(HEAD_KEY, msgspec.json.encode(head)),
         Write(_log_key(number), msgspec.json.encode(entry)),
-        *put,
+        *more_writes,
     ]
     written = {write.key for write in writes}
-    writes += [Write(key, None) for key in _too_old(there, head, entry) if key not in written]
-    # The value too: a head carries its tag, and a store that lost its last writes gives revisions again.
-    return Attempt((Compare(HEAD, there.mod, there.value),), tuple(writes))
+    writes += [Write(key, None) for key in _outdated_keys(state, head, entry) if key not in written]
+    # Compares the value too: a store that lost its last writes reuses revisions, but the value holds the tag.
+    return Attempt((Compare(HEAD_KEY, state.mod_revision, state.value),), tuple(writes))
 
 
-def _too_old(there: HeadState, head: Head, entry: Entry) -> list[str]:
-    """Keys that go with this step: the log and its versions stay bounded, in few operations a step."""
-    kept = sorted(there.log, key=lambda one: one.number)[-(KEPT - 1) :]
-    gone = [_log_key(one.number) for one in there.log if one not in kept]
-    named = {head.version, head.before, entry.version, entry.before}
-    named |= {head.rollout.version} if head.rollout else set()
-    named |= {version for one in kept for version in (one.version, one.before)}
-    gone += [VERSIONS + version for version in there.versions if version not in named]
-    return gone[:16]
+def _outdated_keys(state: HeadState, head: Head, entry: LogEntry) -> list[str]:
+    """Return keys to delete in this step; bounds the log and its versions with few operations a step."""
+    retained = sorted(state.log, key=lambda logged: logged.number)[-(MAX_LOG_ENTRIES - 1) :]
+    outdated = [_log_key(logged.number) for logged in state.log if logged not in retained]
+    referenced = {head.version, head.before, entry.version, entry.before}
+    referenced |= {head.rollout.version} if head.rollout else set()
+    referenced |= {version for logged in retained for version in (logged.version, logged.before)}
+    outdated += [VERSIONS_PREFIX + version for version in state.versions if version not in referenced]
+    return outdated[:16]
 
 
-def _check_open(there: HeadState, expected: int | None) -> None:
-    if not there.readable:
+def _check_head(state: HeadState, expected: int | None) -> None:
+    if not state.is_readable:
         raise RulesError(
             "rules/head in the store can't be read: upgrade this softswitch, or restore the store"
         )
-    head = there.head
+    head = state.head
     if expected is not None and expected != head.number:
         raise RulesError(f"the head is {head.number} (version {head.version}), not {expected}")
 
 
-def _check_free(there: HeadState) -> None:
-    rollout = there.head.rollout
-    if rollout is not None and rollout.goes_on:
-        first = next((one for one in there.log if one.number == rollout.id), None)
-        who = f" by {first.author or first.by}" if first else ""
+def _check_no_active_rollout(state: HeadState) -> None:
+    rollout = state.head.rollout
+    if rollout is not None and rollout.is_active:
+        proposal = next((logged for logged in state.log if logged.number == rollout.id), None)
+        author = f" by {proposal.author or proposal.by}" if proposal else ""
         raise RulesError(
-            f"rollout {rollout.id} of version {rollout.version}{who} is under way: undo it first"
+            f"rollout {rollout.id} of version {rollout.version}{author} is under way: undo it first"
         )
 
 
 def propose(
-    there: HeadState,
+    state: HeadState,
     rules: RuleSet,
-    asked: Request,
+    request: Request,
     expected: int,
     stages: tuple[float, ...],
     members: tuple[str, ...],
-    terms: Terms,
+    terms: RolloutTerms,
     stay: bool = False,
-    seen: int = 0,
+    highest_seen: int = 0,
 ) -> Attempt:
-    """Begin a rollout; without stages the version is set at once. A RulesError says why not."""
-    _check_open(there, expected)
-    _check_free(there)
-    head, version = there.head, version_of(rules)
+    """Start a rollout of `rules`, or set them at once if `stages` is empty.
+
+    `expected` is the number of the head that the proposal is based on. A RulesError gives the reason of a
+    refusal."""
+    _check_head(state, expected)
+    _check_no_active_rollout(state)
+    head, version = state.head, version_of(rules)
     if version == head.version:
         raise RulesError(f"these rules are in force already, as version {version}")
-    put = [Write(VERSIONS + version, canonical(rules))] if version != EMPTY else []
+    writes = [Write(VERSIONS_PREFIX + version, canonical(rules))] if version != EMPTY_VERSION else []
     if not stages:
-        after = msgspec.structs.replace(head, version=version, before=head.version, rollout=None)
-        return _step(there, after, Operation.SET, asked, seen, put)
+        next_head = msgspec.structs.replace(head, version=version, before=head.version, rollout=None)
+        return _step(state, next_head, Operation.SET, request, highest_seen, writes)
     rollout = Rollout(0, version, stages, 0, members, terms, stay)
-    return _step(there, msgspec.structs.replace(head, rollout=rollout), Operation.PROPOSED, asked, seen, put)
+    return _step(
+        state,
+        msgspec.structs.replace(head, rollout=rollout),
+        Operation.PROPOSED,
+        request,
+        highest_seen,
+        writes,
+    )
 
 
-def _going(there: HeadState) -> Rollout:
-    rollout = there.head.rollout
-    if rollout is None or not rollout.goes_on:
+def _active_rollout(state: HeadState) -> Rollout:
+    rollout = state.head.rollout
+    if rollout is None or not rollout.is_active:
         raise RulesError("no rollout is under way")
     return rollout
 
 
-def widen(there: HeadState, members: tuple[str, ...], asked: Request, seen: int = 0) -> Attempt:
-    """The next stage: those of the stage before, and these."""
-    rollout = _going(there)
-    if rollout.last:
+def widen(state: HeadState, members: tuple[str, ...], request: Request, highest_seen: int = 0) -> Attempt:
+    """Go to the next stage, with these members in addition to the present ones."""
+    rollout = _active_rollout(state)
+    if rollout.is_last_stage:
         raise RulesError("the rollout is at its last stage")
-    more = tuple(name for name in members if name not in rollout.members)
-    wider = msgspec.structs.replace(rollout, stage=rollout.stage + 1, members=rollout.members + more)
-    return _step(there, msgspec.structs.replace(there.head, rollout=wider), Operation.WIDENED, asked, seen)
+    added = tuple(name for name in members if name not in rollout.members)
+    wider = msgspec.structs.replace(rollout, stage=rollout.stage + 1, members=rollout.members + added)
+    return _step(
+        state, msgspec.structs.replace(state.head, rollout=wider), Operation.WIDENED, request, highest_seen
+    )
 
 
-def halt(there: HeadState, asked: Request, seen: int = 0) -> Attempt:
-    """No wider; `asked.reason` is the one reason that is kept, with its figures."""
-    halted = msgspec.structs.replace(_going(there), halted=asked.reason or "halted")
-    return _step(there, msgspec.structs.replace(there.head, rollout=halted), Operation.HALTED, asked, seen)
+def halt(state: HeadState, request: Request, highest_seen: int = 0) -> Attempt:
+    """Halt the rollout; `request.reason`, with its figures, is stored in the head."""
+    halted = msgspec.structs.replace(_active_rollout(state), halted=request.reason or "halted")
+    return _step(
+        state, msgspec.structs.replace(state.head, rollout=halted), Operation.HALTED, request, highest_seen
+    )
 
 
-def complete(there: HeadState, asked: Request, seen: int = 0) -> Attempt:
-    """The whole fleet goes by the new version."""
-    rollout, head = _going(there), there.head
-    if not rollout.last:
+def complete(state: HeadState, request: Request, highest_seen: int = 0) -> Attempt:
+    """Put the new version in force on the whole fleet and end the rollout."""
+    rollout, head = _active_rollout(state), state.head
+    if not rollout.is_last_stage:
         raise RulesError("the rollout is not at its last stage")
-    after = msgspec.structs.replace(head, version=rollout.version, before=head.version, rollout=None)
-    return _step(there, after, Operation.COMPLETED, asked, seen)
+    next_head = msgspec.structs.replace(head, version=rollout.version, before=head.version, rollout=None)
+    return _step(state, next_head, Operation.COMPLETED, request, highest_seen)
 
 
 def undo(
-    there: HeadState, asked: Request, expected: int | None = None, to: str = "", seen: int = 0
+    state: HeadState, request: Request, expected: int | None = None, to: str = "", highest_seen: int = 0
 ) -> Attempt:
-    """Take the last edit back, or go to a named version; a rollout ends in either case."""
-    _check_open(there, expected)
-    head = there.head
+    """Revert the last edit, or go to the version `to`; a rollout ends in either case."""
+    _check_head(state, expected)
+    head = state.head
     if to:
-        if to != EMPTY and to not in there.versions:
+        if to != EMPTY_VERSION and to not in state.versions:
             raise RulesError(f"version {to[:40]!r} is not known, or no longer kept")
         if to == head.version and head.rollout is None:
             raise RulesError(f"version {to} is in force already")
-        after = msgspec.structs.replace(head, version=to, before=head.version, rollout=None)
+        next_head = msgspec.structs.replace(head, version=to, before=head.version, rollout=None)
     elif head.rollout is not None:
-        after = msgspec.structs.replace(head, rollout=None)
+        next_head = msgspec.structs.replace(head, rollout=None)
     elif head.before == head.version:
         raise RulesError("there is no version before to go back to")
     else:
-        after = msgspec.structs.replace(head, version=head.before, before=head.version)
-    return _step(there, after, Operation.UNDONE, asked, seen)
+        next_head = msgspec.structs.replace(head, version=head.before, before=head.version)
+    return _step(state, next_head, Operation.UNDONE, request, highest_seen)
 
 
-def follows(head: Head, seen: Head | None) -> bool:
-    """May a softswitch that has obeyed `seen` obey this head?
+def may_apply(head: Head, applied: Head | None) -> bool:
+    """Whether a softswitch whose newest head is `applied` may apply this head.
 
-    Guards against a store without its last writes: a lower number is never obeyed, nor another head that
-    has the number of the one seen."""
-    if seen is None or head.number > seen.number:
+    Guards against a store that lost its last writes: a head with a lower number is never applied, nor a
+    different head with the same number."""
+    if applied is None or head.number > applied.number:
         return True
-    return head.number == seen.number and head.tag == seen.tag
+    return head.number == applied.number and head.tag == applied.tag
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -1,7 +1,7 @@
-"""Follows the head at one softswitch, and says each call's way by the version that it names.
+"""Follows the rules head at one softswitch and routes each call by the version that the head names.
 
-What may be obeyed is decided in `head.py`, what a call is told in `table.py`. A change of version is one
-assignment: calls that arrived before it keep what they were told. While the store is away the version stays.
+`head.py` decides which head may be applied, `table.py` the route of a call. A change of version is a single
+assignment: calls that arrived before it keep their route. While the store is unreachable the version stays.
 """
 
 from __future__ import annotations
@@ -19,18 +19,20 @@
 from pearloom.core.logs import note
 from pearloom.core.routing import CallRoute
 from pearloom.core.sides import Offer
-from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
-from pearloom.rules.records import EMPTY, RuleSet
+from pearloom.rules.head import HEAD_KEY, Head, HeadState, may_apply, read_head_state, rules_of
+from pearloom.rules.records import EMPTY_VERSION, RuleSet
 from pearloom.rules.settings import RulesSettings
-from pearloom.rules.snapshots import SnapshotStore
+from pearloom.rules.snapshots import SnapshotFile
 from pearloom.rules.table import LocalContext, RoutingTable
 
-SHELVE_AGAIN_S = 0.05  # between two writes at least
-Tallied = Callable[[str, int, int, End, float], None]  # version, mark, class, end, ms since the arrival
+SNAPSHOT_INTERVAL_S = 0.05  # minimum time between two writes of the snapshot
+OnOutcome = Callable[
+    [str, int, int, End, float], None
+]  # version, arrival mark, class, outcome, ms since arrival
 
 
 class RulesHost:
-    """The rules at one softswitch; `listed` gives the cells of each zone of session servers."""
+    """Applies the rules at one softswitch; `zone_cells` returns the cells of each zone of session servers."""
 
     def __init__(
         self,
@@ -39,167 +41,177 @@
         name: str,
         context: LocalContext,
         settings: RulesSettings,
-        listed: Callable[[], Mapping[str, frozenset[int]]],
+        zone_cells: Callable[[], Mapping[str, frozenset[int]]],
     ) -> None:
-        """No rules are in force before `prepare`."""
+        """Start without rules; `prepare` puts the first version in force."""
         self._link, self._counters, self.name = link, counters, name
-        self.context, self._listed, self._settings = context, listed, settings
-        self._snapshots = SnapshotStore(settings.snapshot)
-        self._kept: dict[str, RuleSet] = {EMPTY: RuleSet()}
-        self._table = RoutingTable(EMPTY, RuleSet(), context)
-        self.applied_head: Head | None = None  # the newest head that was ever obeyed here
-        self.left = 0  # the rollout that this softswitch left by itself
-        self._mod = -1  # the head's revision, as last read
-        self.divergence = ""  # what the store says instead of it, if it says less
-        self.on_obeyed: list[Callable[[], None]] = []
-        self.tallied: Tallied = lambda version, mark, kind, end, took_ms: None
-        self.marked: Callable[[], int] = lambda: 0
-        self._to_shelve = Event()
-        link.on_change.append(self._changed)
-
-    # --- what the exchange asks -----------------------------------------------------------------------------
+        self.context, self._zone_cells, self._settings = context, zone_cells, settings
+        self._snapshot_file = SnapshotFile(settings.snapshot)
+        self._rule_sets: dict[str, RuleSet] = {EMPTY_VERSION: RuleSet()}
+        self._table = RoutingTable(EMPTY_VERSION, RuleSet(), context)
+        self.applied_head: Head | None = (
+            None  # newest head applied here; newer than the store's after a loss of writes
+        )
+        self.left_rollout = 0  # id of the rollout that this softswitch left by itself; 0: none
+        self._head_revision = -1  # store revision of the head last read
+        self.divergence = ""  # the store's head if it can't be applied: its number or the problem
+        self.on_applied: list[Callable[[], None]] = []
+        self.on_outcome: OnOutcome = lambda version, mark, class_index, end, took_ms: None
+        self.arrival_mark: Callable[[], int] = lambda: 0
+        self._snapshot_due = Event()
+        link.on_change.append(self._handle_change)
+
     def way(self, offer: Offer) -> CallRoute:
-        """The way that the rules of this moment give this call."""
+        """Route a call by the version in force."""
         table = self._table
         return CallRoute(
-            table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.marked()
+            table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.arrival_mark()
         )
 
-    def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
-        """One end of a call that arrived under these rules."""
-        self.tallied(way.version, way.mark, kind, end, took_ms)
+    def ended(self, way: CallRoute, class_index: int, end: End, took_ms: float) -> None:
+        """Record an outcome of a call that arrived under the version `way.version`."""
+        self.on_outcome(way.version, way.mark, class_index, end, took_ms)
 
-    # --- following the head ---------------------------------------------------------------------------------
     @property
     def version(self) -> str:
-        """The version that new calls here arrive under."""
+        """The version by which new calls are routed here."""
         return self._table.version
 
     @property
     def head_state(self) -> HeadState | None:
-        """The head and its history, as last read of the store."""
+        """The head and its history as last read from the store; None before the first read."""
         snapshot = self._link.snapshot
-        return None if snapshot is None else read_there(snapshot)
+        return None if snapshot is None else read_head_state(snapshot)
 
     def rules_of(self, version: str) -> RuleSet | None:
-        """A version's rules, where they are kept here or in the store."""
-        found, snapshot = self._kept.get(version), self._link.snapshot
+        """Return a version's rules if this softswitch or the store has them."""
+        found, snapshot = self._rule_sets.get(version), self._link.snapshot
         return found if found is not None or snapshot is None else rules_of(snapshot, version)
 
     def prepare(self, wait: Callable[[float], bool]) -> None:
-        """Before the first call: obey the head if the store answers in time, else what the shelf holds.
+        """Apply the stored head if the store answers in time, else the snapshot; runs before the first call.
 
-        The shelf is read in any case: a head that this softswitch obeyed in a former life is not left for an
-        older one."""
-        stored = self._snapshots.read()
+        The snapshot is read in either case, so that a head applied by an earlier incarnation of this
+        softswitch is not replaced by an older one. `wait` waits for the store, at most so many ms."""
+        stored = self._snapshot_file.read()
         if stored is not None:
-            self._kept |= stored.versions
+            self._rule_sets |= stored.versions
             self.applied_head = stored.head
         answered = wait(self._settings.wait_ms)
         if answered and self._link.snapshot is not None:
-            self._changed(self._link.snapshot)
+            self._handle_change(self._link.snapshot)
         elif self.applied_head is not None:
-            self._go_by(self.applied_head)
+            self._activate(self.applied_head)
         note(
             logging.INFO if answered else logging.WARNING, "rules_ready", version=self.version,
             head=self.applied_head.number if self.applied_head else 0, store=answered,
         )  # fmt: skip
 
-    def _changed(self, snapshot: Snapshot) -> None:
-        entry = snapshot.find(HEAD)
+    def _handle_change(self, snapshot: Snapshot) -> None:
+        entry = snapshot.find(HEAD_KEY)
         if entry is None and self.applied_head is None:
-            self.divergence = ""  # there is nothing to obey, as before any edit
+            self.divergence = ""  # no head has been written yet
             return
-        mod = entry.mod if entry is not None else 0
-        if mod == self._mod and not self.divergence:
-            return  # something else changed: heads are read as they come, not with each count told
-        self._mod = mod
-        there = read_there(snapshot)
-        if not there.readable:
-            self._diverge("unreadable")
-        elif not follows(there.head, self.applied_head):
-            # Guards against a store that lost its last writes: its older head is named, not obeyed.
-            self._diverge(str(there.head.number))
+        revision = entry.mod if entry is not None else 0
+        if revision == self._head_revision and not self.divergence:
+            return  # another key changed, such as published evidence: the head is not decoded again
+        self._head_revision = revision
+        state = read_head_state(snapshot)
+        if not state.is_readable:
+            self._report_divergence("unreadable")
+        elif not may_apply(state.head, self.applied_head):
+            # Guards against a store that lost its last writes: its older head is reported, not applied.
+            self._report_divergence(str(state.head.number))
         elif (
             self.applied_head is None
-            or there.head != self.applied_head
+            or state.head != self.applied_head
             or self.divergence
-            or self.version != self._wanted()
+            or self.version != self._local_version()
         ):
-            self._obey(there.head, snapshot)
+            self._apply(state.head, snapshot)
 
-    def _diverge(self, told: str) -> None:
-        if told != self.divergence:
-            self.divergence = told
+    def _report_divergence(self, reported: str) -> None:
+        if reported != self.divergence:
+            self.divergence = reported
             self._counters.add("rules_diverged")
             note(
                 logging.ERROR,
                 "rules_diverged",
                 seen=self.applied_head.number if self.applied_head else 0,
-                told=told,
+                told=reported,
             )
-        if self.applied_head is not None and self.version != self._wanted():
-            self._go_by(self.applied_head)
-
-    def _obey(self, head: Head, snapshot: Snapshot) -> None:
-        wanted = {head.version, head.before, *([head.rollout.version] if head.rollout else [])}
-        kept = {name: found for name in wanted if (found := self._kept.get(name) or rules_of(snapshot, name))}
-        missing = head.runs(self.name) not in kept
+        if self.applied_head is not None and self.version != self._local_version():
+            self._activate(self.applied_head)
+
+    def _apply(self, head: Head, snapshot: Snapshot) -> None:
+        needed = {head.version, head.before, *([head.rollout.version] if head.rollout else [])}
+        available = {
+            version: rules
+            for version in needed
+            if (rules := self._rule_sets.get(version) or rules_of(snapshot, version))
+        }
+        missing = head.version_at(self.name) not in available
         if missing:
-            # Guards against a head whose rules are spoilt or gone: what is in force stays, and it is named.
-            self._diverge(f"{head.number} without its rules")
+            # Guards against a head whose rules are corrupt or missing: the version in force stays.
+            self._report_divergence(f"{head.number} without its rules")
             return
         if self.divergence:
             note(logging.INFO, "rules_converged", head=head.number)
-        self.divergence, self.applied_head, self._kept = "", head, {EMPTY: RuleSet(), **kept}
-        if head.rollout is None or head.rollout.id != self.left:
-            self.left = 0
-        self._go_by(head)
-        self._to_shelve.set()
+        self.divergence, self.applied_head, self._rule_sets = (
+            "",
+            head,
+            {EMPTY_VERSION: RuleSet(), **available},
+        )
+        if head.rollout is None or head.rollout.id != self.left_rollout:
+            self.left_rollout = 0
+        self._activate(head)
+        self._snapshot_due.set()
 
     def start(self) -> None:
-        """Keep what is obeyed on disk from now on."""
-        gevent.spawn(self._shelve)
+        """Start writing each applied head to the snapshot."""
+        gevent.spawn(self._write_snapshots)
 
-    def _shelve(self) -> None:
-        """One writer, so that of two heads the newer one is what stays; nobody waits for the disk."""
+    def _write_snapshots(self) -> None:
+        """Write snapshots in a single greenlet: the newest head stays, and nothing waits for the disk."""
         while True:
-            self._to_shelve.wait()
-            self._to_shelve.clear()
+            self._snapshot_due.wait()
+            self._snapshot_due.clear()
             if self.applied_head is not None:
-                self._snapshots.write(self.applied_head, dict(self._kept))
-            gevent.sleep(SHELVE_AGAIN_S)
+                self._snapshot_file.write(self.applied_head, dict(self._rule_sets))
+            gevent.sleep(SNAPSHOT_INTERVAL_S)
 
-    def _wanted(self) -> str:
+    def _local_version(self) -> str:
         assert self.applied_head is not None
-        return self.applied_head.version if self.left else self.applied_head.runs(self.name)
+        return self.applied_head.version if self.left_rollout else self.applied_head.version_at(self.name)
 
-    def _go_by(self, head: Head) -> None:
-        version = self._wanted()
-        rules = self._kept.get(version)
+    def _activate(self, head: Head) -> None:
+        version = self._local_version()
+        rules = self._rule_sets.get(version)
         if rules is None:
             return
         if version != self._table.version:
             self._counters.add("rules_changed")
             note(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
-        self._table = RoutingTable(version, rules, replace(self.context, cells=self._listed()))
-        for told in self.on_obeyed:
-            told()
+        self._table = RoutingTable(version, rules, replace(self.context, cells=self._zone_cells()))
+        for on_applied in self.on_applied:
+            on_applied()
 
     def update_zone_cells(self) -> None:
-        """The pool list changed: what zones stand for may have."""
-        cells = self._listed()
+        """Recompile the table if a change of the pool list changed the cells of a zone."""
+        cells = self._zone_cells()
         if cells != self.context.cells:
             self.context = replace(self.context, cells=cells)
-            if self._table.version != EMPTY:
-                self._table = RoutingTable(self._table.version, self._kept[self._table.version], self.context)
+            if self._table.version != EMPTY_VERSION:
+                self._table = RoutingTable(
+                    self._table.version, self._rule_sets[self._table.version], self.context
+                )
 
-    def leave(self, rollout: int) -> None:
-        """Go back by itself from a version that is being rolled out, until the head says something else."""
+    def leave_rollout(self, rollout: int) -> None:
+        """Return to the version in force, out of this rollout, until the head has no or another rollout."""
         if (
             self.applied_head is not None
             and self.applied_head.rollout is not None
             and self.applied_head.rollout.id == rollout
         ):
-            self.left = rollout
-            self._go_by(self.applied_head)
+            self.left_rollout = rollout
+            self._activate(self.applied_head)
--- a/pearloom/rules/records.py
+++ b/pearloom/rules/records.py
@@ -1,11 +1,11 @@
-"""Routing rules as typed records, and the version that a set of them is. Values only: no I/O.
+"""Routing rules as typed records, and the version that identifies a rule set. Values only: no I/O.
 
-A rule has a match and one effect. All that it names has to hold for a call; what it leaves out matches every
-call. An effect narrows, orders or weighs the cells that a call may use anyway; none opens a gate, a drain or
-a cell that the call's class may not use.
+A rule has a match and one effect. A call matches if every condition of the match holds; a condition that is
+left out matches every call. An effect narrows, orders or weighs the cells that the call may use anyway. No
+effect opens a closed gate, reaches a draining server or adds a cell that the call's class may not use.
 
-A version is named by the hash of its canonical form (RFC 8785), so that the same rules have the same name at
-every softswitch and a value that was spoilt in the store is told from what it was meant to be.
+A version is named by the hash of its canonical form (RFC 8785). The same rules therefore have the same name
+at every softswitch, and a stored rule set that was corrupted no longer matches its name.
 """
 
 from __future__ import annotations
@@ -17,47 +17,47 @@
 
 FORMAT = 1
 MAX_RULES = 100
-MOST_NAMES = 64  # in one list
-MOST_CAPS = 8  # in one set: each is counted for each call that it matches
-EMPTY = "none"  # the version before any was proposed: no rule
+MAX_NAMES = 64  # in one list
+MAX_CAPS = 8  # in one rule set: a cap counts every call that it matches
+EMPTY_VERSION = "none"  # in force before the first proposal: a rule set without rules
 
 
 class RulesError(ValueError):
-    """Rules, or a step with them, that can't be taken; the text is one line for the operator."""
+    """Invalid rules, or a step that the head does not allow; the text is one line for the operator."""
 
 
 class Match(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"classes": "class"}):
-    """Which calls; each list: any of these, and empty: every one."""
+    """The calls that a rule applies to; a list matches any of its entries, an empty list all calls."""
 
     classes: tuple[str, ...] = ()
     tenant: tuple[str, ...] = ()
     first_choice: tuple[int, ...] = ()
-    zone: tuple[str, ...] = ()  # of the softswitch that has the call
+    zone: tuple[str, ...] = ()  # of the softswitch that handles the call
 
 
 class Prefer(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="prefer"):
-    """These cells first, while their gates let the call in."""
+    """Use these cells first, as long as their gates admit the call."""
 
     cells: tuple[int, ...] = ()
     zones: tuple[str, ...] = ()  # of session servers
 
 
 class Avoid(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="avoid"):
-    """These cells last, where no other gate lets the call in."""
+    """Use these cells last, when no other gate admits the call."""
 
     cells: tuple[int, ...] = ()
     zones: tuple[str, ...] = ()
 
 
 class Only(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="only"):
-    """No cell but these."""
+    """Use no other cells than these."""
 
     cells: tuple[int, ...] = ()
     zones: tuple[str, ...] = ()
 
 
 class Weigh(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="weigh"):
-    """In a draw these cells count by this factor; a first choice whose gate is open is not drawn."""
+    """Multiply the weight of these cells in a random draw; a first choice whose gate is open is not drawn."""
 
     factor: float
     cells: tuple[int, ...] = ()
@@ -65,7 +65,7 @@
 
 
 class Cap(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="cap"):
-    """At most this share of the matching calls may use these cells at all."""
+    """Let at most this share of the matching calls use these cells."""
 
     share: float
     cells: tuple[int, ...] = ()
@@ -73,7 +73,7 @@
 
 
 class Spill(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="spill"):
-    """Where calls go whose first choice does not let them in: these zones in this order, then the others."""
+    """Send calls that their first choice does not admit to these zones in this order, then to the others."""
 
     zones: tuple[str, ...]
 
@@ -82,7 +82,7 @@
 
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One rule."""
+    """A named rule: the calls that match get its effect."""
 
     name: str
     effect: Effect
@@ -90,24 +90,24 @@
 
 
 class RuleSet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All rules of a version, in their order: of those that order a cell the first decides."""
+    """All rules of a version, in order: the first rule that ranks a cell decides the cell's rank."""
 
     format: int = FORMAT
     rules: tuple[Rule, ...] = ()
 
 
 def canonical(rules: RuleSet) -> bytes:
-    """The one form that is hashed, stored and compared."""
+    """Encode rules in the canonical form that is hashed, stored and compared."""
     return rfc8785.dumps(msgspec.to_builtins(rules))
 
 
 def version_of(rules: RuleSet) -> str:
-    """The version's name: no rule has its own, every other set 32 hexadecimal signs."""
-    return EMPTY if not rules.rules else sha256(canonical(rules)).hexdigest()[:32]
+    """Name a version: `EMPTY_VERSION` without rules, else 32 hexadecimal digits."""
+    return EMPTY_VERSION if not rules.rules else sha256(canonical(rules)).hexdigest()[:32]
 
 
-def read_rules(value: bytes, version: str) -> RuleSet | None:
-    """What the store or the disk holds of a version; None where it is not what its name says."""
+def decode_rules(value: bytes, version: str) -> RuleSet | None:
+    """Decode a version from the store or the disk; None if unreadable or not the rules of that name."""
     try:
         rules: RuleSet = msgspec.json.decode(value, type=RuleSet)
     except msgspec.MsgspecError:
--- a/pearloom/rules/snapshots.py
+++ b/pearloom/rules/snapshots.py
@@ -1,7 +1,7 @@
-"""The head that was last obeyed, and its rules, in a file: for a start at which the store does not answer.
+"""A file with the head last applied and its rules, for a start at which the store does not answer.
 
-Written whole beside the old one and put in its place; read only where its checksum and its format are right.
-Guards against a file that a crash tore, and against one of a newer pearloom that is guessed at.
+The file is written under a temporary name and then renamed; it is used only if its checksum and format are
+right. Guards against a file truncated by a crash, and against misreading the file of a newer pearloom.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from pearloom.rules.head import Head
 from pearloom.rules.records import FORMAT, RuleSet, version_of
 
-MOST_BYTES = 4 * 1024 * 1024
+MAX_BYTES = 4 * 1024 * 1024
 
 
 class StoredSnapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the file holds: the head, and the rules of each version that it may ask for here."""
+    """The file's content: the head, the rules of the versions that it names, and the time of writing."""
 
     format: int
     at_ms: int
@@ -31,62 +31,62 @@
     versions: dict[str, RuleSet]
 
 
-class SnapshotStore:
-    """One file; an empty path keeps nothing."""
+class SnapshotFile:
+    """The snapshot file; an empty path disables it."""
 
     def __init__(self, path: str) -> None:
-        """Reads nothing yet."""
+        """Store the path without reading the file."""
         self._path = path
 
     def read(self) -> StoredSnapshot | None:
-        """What is there, if it can be used; the log says its age, or what is wrong with it."""
+        """Read the snapshot; None if missing or unusable. Its age, or the problem, is logged."""
         if not self._path:
             return None
         try:
             data = Path(self._path).read_bytes()
-            found = _read(data)
+            snapshot = _decode(data)
         except FileNotFoundError:
             return None
-        except (OSError, ValueError) as trouble:
-            note(logging.ERROR, "rules_snapshot_unusable", reason=str(trouble)[:200])
+        except (OSError, ValueError) as error:
+            note(logging.ERROR, "rules_snapshot_unusable", reason=str(error)[:200])
             return None
-        age_s = time.time() - found.at_ms / 1000.0
-        note(logging.WARNING, "rules_from_snapshot", head=found.head.number, age_s=age_s)
-        return found
+        age_s = time.time() - snapshot.at_ms / 1000.0
+        note(logging.WARNING, "rules_from_snapshot", head=snapshot.head.number, age_s=age_s)
+        return snapshot
 
     def write(self, head: Head, versions: dict[str, RuleSet]) -> None:
-        """Keep this; a disk that fails is logged, and what was kept before stays."""
+        """Replace the snapshot; if the write fails, the error is logged and the previous snapshot stays."""
         if not self._path:
             return
         body = msgspec.json.encode(StoredSnapshot(FORMAT, int(time.time() * 1000), head, versions))
-        # In a thread: a disk may take its time, and calls don't wait for it.
-        trouble = gevent.get_hub().threadpool.apply(_put, (self._path, body))
-        if trouble:
-            note(logging.ERROR, "rules_snapshot_failed", reason=trouble)
+        # Runs in a thread, so that a slow disk does not delay calls.
+        error = gevent.get_hub().threadpool.apply(_replace_file, (self._path, body))
+        if error:
+            note(logging.ERROR, "rules_snapshot_failed", reason=error)
 
 
-def _put(path: str, body: bytes) -> str:
-    beside = f"{path}.{os.getpid()}"
+def _replace_file(path: str, body: bytes) -> str:
+    temporary_path = f"{path}.{os.getpid()}"
     try:
-        with open(beside, "wb") as file:
+        with open(temporary_path, "wb") as file:
             file.write(sha256(body).hexdigest().encode() + b"\n" + body)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
-    except OSError as trouble:
-        return str(trouble)[:200]
+        os.replace(temporary_path, path)
+    except OSError as error:
+        return str(error)[:200]
     return ""
 
 
-def _read(data: bytes) -> StoredSnapshot:
-    if len(data) > MOST_BYTES:
-        raise ValueError(f"{len(data)} bytes are more than such a file may have")
+def _decode(data: bytes) -> StoredSnapshot:
+    if len(data) > MAX_BYTES:
+        raise ValueError(f"{len(data)} bytes are more than a snapshot may have")
     checksum, _, body = data.partition(b"\n")
     if sha256(body).hexdigest().encode() != checksum:
-        raise ValueError("its checksum is wrong")
-    found: StoredSnapshot = msgspec.json.decode(body, type=StoredSnapshot)
-    if found.format != FORMAT:
-        raise ValueError(f"it is of format {found.format}, {FORMAT} can be read")
-    if any(version_of(rules) != version for version, rules in found.versions.items()):
-        raise ValueError("a version's rules are not what its name says")
-    return found
+        raise ValueError("the checksum does not match the content")
+    snapshot: StoredSnapshot = msgspec.json.decode(body, type=StoredSnapshot)
+    if snapshot.format != FORMAT:
+        raise ValueError(f"the format is {snapshot.format}, only {FORMAT} can be read")
+    if any(version_of(rules) != version for version, rules in snapshot.versions.items()):
+        raise ValueError("the rules of a version don't match its name")
+    return snapshot
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -16,11 +16,11 @@
     BUCKETS_PER_STAGE,
     Evidence,
     Tally,
-    added,
-    join,
+    merge,
     merge_delays,
+    read_evidence,
     stage_id,
-    told,
+    sum_counts,
 )
 
 STAGE = stage_id(3, 1)
@@ -37,11 +37,11 @@
     rows = [
         row for one in held.values() for by in one.versions.values() for c in by.values() for row in c.ends
     ]
-    return added(rows)
+    return sum_counts(rows)
 
 
 @given(
-    st.lists(st.lists(st.sampled_from(evidence.ENDS), max_size=12), min_size=1, max_size=4),
+    st.lists(st.lists(st.sampled_from(evidence.COUNTED_OUTCOMES), max_size=12), min_size=1, max_size=4),
     st.integers(0, 1 << 30),
 )
 def test_doubled_late_and_reordered_values_of_several_lives_merge_alike(
@@ -61,11 +61,11 @@
     random.shuffle(arrived)
     merged: dict[tuple[str, int], Evidence] = {}
     for value in arrived:
-        merged = join(merged, dict([value]))
+        merged = merge(merged, dict([value]))
     half = len(arrived) // 2
-    parts = [join({}, *(dict([one]) for one in part)) for part in (arrived[:half], arrived[half:])]
-    assert join(parts[0], parts[1]) == join(parts[1], parts[0]) == merged
-    assert join(merged, merged) == merged
+    parts = [merge({}, *(dict([one]) for one in part)) for part in (arrived[:half], arrived[half:])]
+    assert merge(parts[0], parts[1]) == merge(parts[1], parts[0]) == merged
+    assert merge(merged, merged) == merged
     assert sums(merged) == sums(whole)
 
 
@@ -96,8 +96,8 @@
         burst.record_end("v", burst.arrival_mark(0.0), 0, End.FAILED, 1.0, 100.0 + at)
         spread.record_end("v", spread.arrival_mark(0.0), 0, End.FAILED, 1.0, 1_000.0 * at)
     found = [one.evidence(1, 1, "", 0, 10_000.0).versions["v"]["a"].squares for one in (burst, spread)]
-    assert found[0][evidence.BAD.index(End.FAILED)] == 100
-    assert found[1][evidence.BAD.index(End.FAILED)] == 10
+    assert found[0][evidence.BAD_OUTCOMES.index(End.FAILED)] == 100
+    assert found[1][evidence.BAD_OUTCOMES.index(End.FAILED)] == 10
 
 
 def test_delays_are_added_up_and_spoilt_ones_left_out() -> None:
@@ -130,12 +130,12 @@
 def test_a_value_that_cannot_be_true_is_named_and_not_counted(value: bytes) -> None:
     assert evidence.decode(value) is None
     entry = Entry("evidence/n1/7", value, 1, 1)
-    assert told(Snapshot(1, 1, (entry,)), STAGE) == ({}, ("evidence/n1/7",))
+    assert read_evidence(Snapshot(1, 1, (entry,)), STAGE) == ({}, ("evidence/n1/7",))
 
 
 def test_a_value_under_another_key_than_its_own_is_named() -> None:
     """Guards against one softswitch whose counts are taken for another's, or twice."""
     entries = tuple(Entry(f"evidence/n1/{life}", evidence.encode(SOUND), 1, 1) for life in (7, 8))
-    found, unreadable = told(Snapshot(1, 1, entries), STAGE)
+    found, unreadable = read_evidence(Snapshot(1, 1, entries), STAGE)
     assert list(found) == [("n1", 7)] and unreadable == ("evidence/n1/8",)
-    assert told(Snapshot(1, 1, entries), STAGE + 1)[0] == {}
+    assert read_evidence(Snapshot(1, 1, entries), STAGE + 1)[0] == {}
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -11,7 +11,7 @@
 from pearloom.core.ends import End
 from pearloom.fakes.fleet.days import Day, false_halts, play_day
 from pearloom.rollout.evidence import Evidence, Tally, stage_id
-from pearloom.rollout.judge import RATIOS, Stratum, bounds, judge, log_evidence
+from pearloom.rollout.judge import RATIOS, Stratum, judge, log_evidence, ratio_bounds
 
 STAGE = stage_id(1, 0)
 RATE, TOLERANCE = 0.01, 1.25
@@ -42,11 +42,11 @@
 
 def test_bounds_hold_the_true_ratio_and_close_in() -> None:
     few, many = Stratum(5, 100, 10, 200), Stratum(500, 10_000, 1_000, 20_000)
-    low, high = bounds([few], RATE, 1.0)
+    low, high = ratio_bounds([few], RATE, 1.0)
     assert low < 1.0 < high
-    closer = bounds([many], RATE, 1.0)
+    closer = ratio_bounds([many], RATE, 1.0)
     assert low < closer[0] < 1.0 < closer[1] < high
-    assert bounds([], RATE, 1.0) == (0.0, float("inf"))
+    assert ratio_bounds([], RATE, 1.0) == (0.0, float("inf"))
 
 
 def test_one_in_twenty_of_one_class_is_found_and_named() -> None:
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -22,14 +22,14 @@
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
-from pearloom.rollout.evidence import Tally, added, stage_id
-from pearloom.rollout.steps import RolloutStep, Seen, next_step
+from pearloom.rollout.evidence import Tally, stage_id, sum_counts
+from pearloom.rollout.steps import RolloutStep, StageObservation, next_step
 from pearloom.rules import head as heads
-from pearloom.rules.head import Head, Operation, Request, Terms, follows, read_there
-from pearloom.rules.records import EMPTY, Match, Prefer, Rule, RulesError, RuleSet
+from pearloom.rules.head import Head, Operation, Request, RolloutTerms, may_apply, read_head_state
+from pearloom.rules.records import EMPTY_VERSION, Match, Prefer, Rule, RulesError, RuleSet
 
 ZONES = {"n1": "a", "n2": "b", "n3": "b"}
-TERMS = Terms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
+TERMS = RolloutTerms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
 names = st.sampled_from(sorted(ZONES))
 ends = st.sampled_from([End.STOOD, End.STOOD, End.LATE, End.FAILED])
 
@@ -46,13 +46,13 @@
         self.heard: dict[str, float] = {}
 
     def obey(self, now: float) -> None:
-        head = read_there(self.read).head
-        if head == self.obeyed or not follows(head, self.obeyed):
+        head = read_head_state(self.read).head
+        if head == self.obeyed or not may_apply(head, self.obeyed):
             return
         self.obeyed = head
         rollout = head.rollout
-        mark = stage_id(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
-        if mark != self.tally.stage:
+        mark = stage_id(rollout.id, rollout.stage) if rollout and rollout.is_active else 0
+        if mark != self.tally.stage_id:
             self.tally, self.began, self.told = Tally(("a",), mark, now, 1_000.0), now, 0
             self.heard = {}
 
@@ -76,14 +76,14 @@
         after = apply(self.store, attempt)
         if after is None:
             return False
-        before, self.store = read_there(self.store).head, after
-        head = read_there(after).head
+        before, self.store = read_head_state(self.store).head, after
+        head = read_head_state(after).head
         if head != before:
             assert head.number == before.number + 1
             old, new = before.rollout, head.rollout
             if old and new and old.id == new.id:
                 assert set(old.members) <= set(new.members) and new.stage >= old.stage
-                assert old.goes_on or new.stage == old.stage
+                assert old.is_active or new.stage == old.stage
         return True
 
     @rule(name=names, passes=st.floats(0, 1_500))
@@ -92,25 +92,25 @@
         one = self.fleet[name]
         one.read = self.store
         one.obey(self.now)
-        told, _ = evidence.told(one.read, one.tally.stage)
+        told, _ = evidence.read_evidence(one.read, one.tally.stage_id)
         for other, _ in told:
             one.heard[other] = self.now
 
     @rule(name=names, ends=st.lists(ends, max_size=8))
     def takes_calls(self, name: str, ends: list[End]) -> None:
         one = self.fleet[name]
-        version = one.obeyed.runs(name) if one.obeyed else EMPTY
+        version = one.obeyed.version_at(name) if one.obeyed else EMPTY_VERSION
         for end in ends:
             one.tally.record_end(version, one.tally.arrival_mark(self.now), 0, end, 10.0, self.now)
-        if one.tally.stage:
-            self.calls[one.tally.stage] = self.calls.get(one.tally.stage, 0) + len(ends)
+        if one.tally.stage_id:
+            self.calls[one.tally.stage_id] = self.calls.get(one.tally.stage_id, 0) + len(ends)
 
     @rule(name=names, lost=st.booleans())
     def tells(self, name: str, lost: bool) -> None:
         one = self.fleet[name]
-        if not one.tally.stage:
+        if not one.tally.stage_id:
             return
-        key = evidence.key_of(name, one.life)
+        key = evidence.evidence_key(name, one.life)
         held = one.read.find(key)
         value = one.tally.evidence(one.life, one.told + 1, ZONES[name], 0, self.now)
         write = Write(key, evidence.encode(value))
@@ -122,8 +122,8 @@
     def confirms(self, name: str) -> None:
         one = self.fleet[name]
         if one.obeyed is not None:
-            said = Confirmation(1, one.life, one.obeyed.number, one.obeyed.runs(name))
-            attempt = confirm.confirm(one.read, name, said)
+            said = Confirmation(1, one.life, one.obeyed.number, one.obeyed.version_at(name))
+            attempt = confirm.confirmation_attempt(one.read, name, said)
             if attempt is not None:
                 self.write(attempt)
 
@@ -133,20 +133,20 @@
         one = self.fleet[name]
         if not stale:
             self.reads(name, 0.0)
-        there = read_there(one.read)
+        there = read_head_state(one.read)
         if one.obeyed is None or there.head != one.obeyed or there.head.rollout is None:
             return
-        told, _ = evidence.told(one.read, one.tally.stage)
-        seen = Seen(self.now, one.began, one.heard, told, confirm.confirmations(one.read), ZONES)
+        told, _ = evidence.read_evidence(one.read, one.tally.stage_id)
+        seen = StageObservation(self.now, one.began, one.heard, told, confirm.confirmations(one.read), ZONES)
         step = next_step(there, seen, Request(name, f"{name}-{self.now}", ""), one.obeyed.number)
         if step is not None:
             self.check(step, there.head, seen)
             self.write(step.attempt)
 
-    def check(self, step: RolloutStep, head: Head, seen: Seen) -> None:
-        assert head.rollout is not None and head.rollout.goes_on
-        if step.did in (Operation.WIDENED, Operation.COMPLETED):
-            told = {name for name, _ in seen.told}
+    def check(self, step: RolloutStep, head: Head, seen: StageObservation) -> None:
+        assert head.rollout is not None and head.rollout.is_active
+        if step.operation in (Operation.WIDENED, Operation.COMPLETED):
+            told = {name for name, _ in seen.evidence}
             assert set(head.rollout.members) <= told, "nothing is widened on what nobody told"
 
     @rule(name=names)
@@ -157,7 +157,7 @@
     @rule(name=names, undo=st.booleans())
     def an_operator(self, name: str, undo: bool) -> None:
         one = self.fleet[name]
-        there, asked = read_there(one.read), Request(name, f"o{self.now}", "")
+        there, asked = read_head_state(one.read), Request(name, f"o{self.now}", "")
         self.edits += 1
         rules = RuleSet(rules=(Rule(f"r{self.edits}", Prefer((1,)), Match()),))
         begun = stages.members(ZONES, there.head.number + 1, 0.0)
@@ -173,22 +173,22 @@
     @invariant()
     def no_call_is_counted_twice(self) -> None:
         for stage, made in self.calls.items():
-            told, unreadable = evidence.told(self.store, stage)
+            told, unreadable = evidence.read_evidence(self.store, stage)
             versions = [by for one in told.values() for by in one.versions.values()]
             rows = [row for by in versions for counts in by.values() for row in counts.ends]
-            assert not unreadable and sum(added(rows)) <= made
+            assert not unreadable and sum(sum_counts(rows)) <= made
 
     @invariant()
     def heads_only_grow_and_the_log_has_each(self) -> None:
-        there = read_there(self.store)
+        there = read_head_state(self.store)
         assert there.head.number >= self.highest and not there.unreadable
         self.highest = there.head.number
         logged = [one.number for one in there.log]
         assert logged == list(range(self.highest - len(logged) + 1, self.highest + 1))
         rollout = there.head.rollout
         if rollout is not None:
-            assert not (rollout.goes_on and rollout.id in self.halted), "a halted rollout went on"
-            if not rollout.goes_on:
+            assert not (rollout.is_active and rollout.id in self.halted), "a halted rollout went on"
+            if not rollout.is_active:
                 self.halted.add(rollout.id)
 
 
