--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -66,7 +66,7 @@
         due_us = self._now_us + after_us
         return (due_us + -due_us % self._round_us) / 1000.0
 
-    def tell(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """Hand the controller an event; what its actions bring about follows in turn, never inside."""
         self._events.append(event)
         if self._telling:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -55,7 +55,7 @@
         self.stay_away_ms = settings.stay_away_us(FULL_STAY_AWAY_US) / 1000.0  # told where there is no room
         self.account = Account(clock, counters, figures, settings.classes)
         self.decider = Decider(clock, settings, seed, round_ms, self._act)
-        self._tell = self.decider.tell
+        self._tell = self.decider.handle_event
         self._calls: dict[str, Call] = {}
         self._standing = Standing()
         self._over = Remembered(REMEMBERED, REMEMBERED_MS)
