--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -50,7 +50,7 @@
         self.broken = 0  # events that the module choked on
 
     @property
-    def avoided(self) -> int:
+    def ejected_count(self) -> int:
         """How many listed pools get single trials alone."""
         return self._controller.avoided
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -85,7 +85,7 @@
         return self._figures.text(
             outstanding=self.open_calls + self.standing_calls,
             discovered=self._servers.discovered,
-            ejected=self.decider.avoided,
+            ejected=self.decider.ejected_count,
         )
 
     def standing_at(self, server: str) -> int:
