--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -52,7 +52,7 @@
     @property
     def ejected_count(self) -> int:
         """How many listed pools get single trials alone."""
-        return self._controller.avoided
+        return self._controller.ejected_count
 
     @property
     def limits(self) -> dict[str, float]:
--- a/pearloom/policy/controller.py
+++ b/pearloom/policy/controller.py
@@ -47,7 +47,7 @@
         return state.actions
 
     @property
-    def avoided(self) -> int:
+    def ejected_count(self) -> int:
         """How many listed pools get single trials alone: silent, dead, jammed, full or failing."""
         return sum(pool.ejected and pool.state is PoolState.READY for pool in self._state.pools.values())
 
