--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -63,7 +63,7 @@
             self._rules,
             counters,
             turns.zone,
-            lambda: exchange.decider.broken,
+            lambda: exchange.decider.failed_decisions,
             steady_ms,
         )
         hands = MaintenanceCallbacks(
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -47,7 +47,7 @@
         self._now_us = 0
         self._events: deque[api.Event] = deque()
         self._telling = False
-        self.broken = 0  # events that the module choked on
+        self.failed_decisions = 0  # events that the module choked on
 
     @property
     def ejected_count(self) -> int:
@@ -88,7 +88,7 @@
             actions = self._controller.handle(self._step_us(), event)
         except Exception:
             # Guards against one call that the module chokes on: it is answered, and the others go on.
-            self.broken += 1
+            self.failed_decisions += 1
             crashed("decision_failed", what=type(event).__name__)
             actions = [api.Fail(event.call)] if isinstance(event, api.CallArrived) else []
         for action in actions:
