--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -13,7 +13,7 @@
 from pearloom.policy import Controller
 
 
-def arrival(offer: Offer, way: CallRoute | None) -> api.CallArrived:
+def call_arrived_event(offer: Offer, way: CallRoute | None) -> api.CallArrived:
     """A new set-up as the decision module hears of it; `way`: what the fleet's routing rules said of it."""
     return api.CallArrived(
         call=offer.call,
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -16,7 +16,7 @@
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters, Figures
-from pearloom.core.decider import Decider, arrival
+from pearloom.core.decider import Decider, call_arrived_event
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import note
 from pearloom.core.remembered import Remembered
@@ -147,7 +147,7 @@
         way = self.account.way(offer)
         self._calls[offer.call] = Call(offer, caller, arrived_ms=self._clock.now_ms(), way=way)
         self._backlog.add(offer)
-        self._tell(arrival(offer, way))
+        self._tell(call_arrived_event(offer, way))
 
     def refuse(self, offer: Offer, caller: Caller) -> None:
         """A new set-up that the callers' side has no room for; nothing is decided of the call."""
