--- a/pearloom/core/account.py
+++ b/pearloom/core/account.py
@@ -85,5 +85,5 @@
             call_over=over,
             processor_full=error is not None and error.processor_full,
             no_line=error is not None and error.no_line,
-            line_only=error is not None and error.line_only,
+            is_connection_fault=error is not None and error.line_only,
         )
--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -172,7 +172,7 @@
     """The one outcome that each attempt gets; `full_wait_us` where a full processor names one.
 
     FULL has one of two reasons: `processor_full`, or `no_line`, that no agent or line was free.
-    `line_only`: a connection broke, which says nothing of the server.
+    `is_connection_fault`: a connection broke, which says nothing of the server.
     """
 
     call: str
@@ -183,7 +183,7 @@
     call_over: bool = False
     processor_full: bool = False
     no_line: bool = False
-    line_only: bool = False
+    is_connection_fault: bool = False
     full_wait_us: int = 0
     report: Mapping[str, float] = field(default_factory=dict)
 
--- a/pearloom/policy/lifecycle.py
+++ b/pearloom/policy/lifecycle.py
@@ -111,7 +111,7 @@
             self._back(call)
         if pool is not None:
             health.reported(state, event.server, event.report)
-            if not event.line_only:
+            if not event.is_connection_fault:
                 health.judge(state, pool, event, call)
         if event.call_over:
             call.answered = True
