--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -130,10 +130,10 @@
 class Route:
     """What operators' rules say of one call's way: among the pools that are open to it anyway.
 
-    `only`: the cells that it may use (None: all), less those `closed`. `tiers`: cell -> order, lower first;
+    `allowed_cells`: the cells that it may use (None: all), less those `closed`. `tiers`: cell -> order, lower first;
     a cell not named has `tier`. `weights`: cell -> factor above 0 in a draw; 1 where not named."""
 
-    only: frozenset[int] | None = None
+    allowed_cells: frozenset[int] | None = None
     closed: frozenset[int] = frozenset()
     tiers: Mapping[int, int] = field(default_factory=dict)
     tier: int = 0
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -57,7 +57,7 @@
         (Prefer((1,)), Route(tiers={1: FIRST}, tier=OTHERS)),
         (Prefer(zones=("dublin",)), Route(tiers={2: FIRST}, tier=OTHERS)),
         (Avoid((1,)), Route(tiers={1: LAST}, tier=OTHERS)),
-        (Only((1, 2)), Route(only=frozenset({1, 2}), tier=OTHERS)),
+        (Only((1, 2)), Route(allowed_cells=frozenset({1, 2}), tier=OTHERS)),
         (Weigh(2.0, (1,)), Route(tier=OTHERS, weights={1: 2.0})),
         (Spill(("dublin", "lyon")), Route(tiers={2: SPILL, 3: SPILL + 1}, tier=OTHERS)),
     ],
@@ -77,7 +77,11 @@
     both = table(Prefer((1,)), Avoid((1, 2)), Only((1, 2)), Only((2, 3)), Weigh(2.0, (1,)), Weigh(3.0, (1,)))
     route = both.route(0, -1, -1)
     assert route is not None
-    assert route.tiers == {1: FIRST, 2: LAST} and route.only == frozenset({2}) and route.weights == {1: 6.0}
+    assert (
+        route.tiers == {1: FIRST, 2: LAST}
+        and route.allowed_cells == frozenset({2})
+        and route.weights == {1: 6.0}
+    )
 
 
 def test_spill_keeps_a_call_at_its_own_first_choice() -> None:
@@ -188,7 +192,9 @@
                 assert states[cell] is PoolState.READY
                 assert not CLASSES[kind].cells or cell in CLASSES[kind].cells
                 if route is not None:
-                    assert cell not in route.closed and (route.only is None or cell in route.only)
+                    assert cell not in route.closed and (
+                        route.allowed_cells is None or cell in route.allowed_cells
+                    )
 
 
 def ready(*states: PoolState) -> Controller:
@@ -223,7 +229,7 @@
 
 def test_a_call_that_rules_leave_nothing_is_refused_at_once() -> None:
     three = [PoolState.READY] * 3
-    assert sent(ready(*three), Route(only=frozenset({9}))) == ["refused"]
+    assert sent(ready(*three), Route(allowed_cells=frozenset({9}))) == ["refused"]
     assert sent(ready(*three), Route(closed=frozenset({0, 1, 2}))) == ["refused"]
 
 
@@ -234,7 +240,7 @@
     for cell in (0, 1):
         for at in range(200):
             now, name = now + 10, f"{cell}{at:015x}"
-            route = Route(only=frozenset({cell}))
+            route = Route(allowed_cells=frozenset({cell}))
             found = controller.handle(now, api.CallArrived(name, 0, -1, 3_000_000, -1, route=route))
             went = [one for one in found if isinstance(one, api.SendSetUp)]
             assert all(one.server == f"s-{cell}" for one in went)
@@ -255,7 +261,7 @@
     controller = ready(PoolState.READY, PoolState.READY, PoolState.DRAINING)
     open_gates = controller.limits
     assert set(open_gates) == {"s-0", "s-1"} and min(open_gates.values()) > 0
-    sent(controller, Route(only=frozenset({0})))
+    sent(controller, Route(allowed_cells=frozenset({0})))
     lost = api.AttemptEnded(f"{0:016x}", 0, "s-0", api.Ending.UNREACHABLE, 1_000)
     controller.handle(2_000, lost)
     assert controller.limits["s-0"] == 0.0 and controller.limits["s-1"] > 0
