--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -130,11 +130,11 @@
 class Route:
     """What operators' rules say of one call's way: among the pools that are open to it anyway.
 
-    `allowed_cells`: the cells that it may use (None: all), less those `closed`. `tiers`: cell -> order, lower first;
+    `allowed_cells`: the cells that it may use (None: all), less `closed_cells`. `tiers`: cell -> order, lower first;
     a cell not named has `tier`. `weights`: cell -> factor above 0 in a draw; 1 where not named."""
 
     allowed_cells: frozenset[int] | None = None
-    closed: frozenset[int] = frozenset()
+    closed_cells: frozenset[int] = frozenset()
     tiers: Mapping[int, int] = field(default_factory=dict)
     tier: int = 0
     weights: Mapping[int, float] = field(default_factory=dict)
--- a/pearloom/policy/routes.py
+++ b/pearloom/policy/routes.py
@@ -19,7 +19,9 @@
 
 def leaves(route: api.Route, pool: Pool) -> bool:
     """Do the rules leave the call this pool? They only narrow: what else forbids it still does."""
-    return pool.cell not in route.closed and (route.allowed_cells is None or pool.cell in route.allowed_cells)
+    return pool.cell not in route.closed_cells and (
+        route.allowed_cells is None or pool.cell in route.allowed_cells
+    )
 
 
 def choose(state: State, call: Call) -> Pool | None:
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -192,7 +192,7 @@
                 assert states[cell] is PoolState.READY
                 assert not CLASSES[kind].cells or cell in CLASSES[kind].cells
                 if route is not None:
-                    assert cell not in route.closed and (
+                    assert cell not in route.closed_cells and (
                         route.allowed_cells is None or cell in route.allowed_cells
                     )
 
@@ -230,7 +230,7 @@
 def test_a_call_that_rules_leave_nothing_is_refused_at_once() -> None:
     three = [PoolState.READY] * 3
     assert sent(ready(*three), Route(allowed_cells=frozenset({9}))) == ["refused"]
-    assert sent(ready(*three), Route(closed=frozenset({0, 1, 2}))) == ["refused"]
+    assert sent(ready(*three), Route(closed_cells=frozenset({0, 1, 2}))) == ["refused"]
 
 
 def test_a_held_call_that_its_rules_leave_little_holds_up_nobody_behind_it() -> None:
