--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -131,12 +131,12 @@
     """What operators' rules say of one call's way: among the pools that are open to it anyway.
 
     `allowed_cells`: the cells that it may use (None: all), less `closed_cells`. `tiers`: cell -> order, lower first;
-    a cell not named has `tier`. `weights`: cell -> factor above 0 in a draw; 1 where not named."""
+    a cell not named has `default_tier`. `weights`: cell -> factor above 0 in a draw; 1 where not named."""
 
     allowed_cells: frozenset[int] | None = None
     closed_cells: frozenset[int] = frozenset()
     tiers: Mapping[int, int] = field(default_factory=dict)
-    tier: int = 0
+    default_tier: int = 0
     weights: Mapping[int, float] = field(default_factory=dict)
 
 
--- a/pearloom/policy/routes.py
+++ b/pearloom/policy/routes.py
@@ -37,7 +37,7 @@
         able = [pool for pool in able if pool.server != call.erred] or able
         if call.route is not None and able:
             # Last: rules order what the gates have left, and never open one.
-            tiers = [call.route.tiers.get(pool.cell, call.route.tier) for pool in able]
+            tiers = [call.route.tiers.get(pool.cell, call.route.default_tier) for pool in able]
             able = [pool for pool, tier in zip(able, tiers, strict=True) if tier == min(tiers)]
         for pool in able:
             if pool.cell == call.first_choice:
--- a/pearloom/rules/table.py
+++ b/pearloom/rules/table.py
@@ -65,7 +65,7 @@
         if not closed:
             return self.route
         base = self.route or Route()
-        return Route(base.allowed_cells, closed, base.tiers, base.tier, base.weights)
+        return Route(base.allowed_cells, closed, base.tiers, base.default_tier, base.weights)
 
 
 class Table:
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -54,12 +54,12 @@
 @pytest.mark.parametrize(
     ("effect", "route"),
     [
-        (Prefer((1,)), Route(tiers={1: FIRST}, tier=OTHERS)),
-        (Prefer(zones=("dublin",)), Route(tiers={2: FIRST}, tier=OTHERS)),
-        (Avoid((1,)), Route(tiers={1: LAST}, tier=OTHERS)),
-        (Only((1, 2)), Route(allowed_cells=frozenset({1, 2}), tier=OTHERS)),
-        (Weigh(2.0, (1,)), Route(tier=OTHERS, weights={1: 2.0})),
-        (Spill(("dublin", "lyon")), Route(tiers={2: SPILL, 3: SPILL + 1}, tier=OTHERS)),
+        (Prefer((1,)), Route(tiers={1: FIRST}, default_tier=OTHERS)),
+        (Prefer(zones=("dublin",)), Route(tiers={2: FIRST}, default_tier=OTHERS)),
+        (Avoid((1,)), Route(tiers={1: LAST}, default_tier=OTHERS)),
+        (Only((1, 2)), Route(allowed_cells=frozenset({1, 2}), default_tier=OTHERS)),
+        (Weigh(2.0, (1,)), Route(default_tier=OTHERS, weights={1: 2.0})),
+        (Spill(("dublin", "lyon")), Route(tiers={2: SPILL, 3: SPILL + 1}, default_tier=OTHERS)),
     ],
 )
 def test_each_effect(effect: Effect, route: Route) -> None:
@@ -220,11 +220,13 @@
 def test_tiers_go_before_the_first_choice_and_only_among_open_gates() -> None:
     three = [PoolState.READY] * 3
     assert sent(ready(*three), None, choice=1) == ["s-1"]
-    assert sent(ready(*three), Route(tiers={2: FIRST}, tier=OTHERS), choice=1) == ["s-2"]
+    assert sent(ready(*three), Route(tiers={2: FIRST}, default_tier=OTHERS), choice=1) == ["s-2"]
     assert sent(
-        ready(PoolState.READY, PoolState.READY, PoolState.DRAINING), Route(tiers={2: FIRST}, tier=OTHERS), 1
+        ready(PoolState.READY, PoolState.READY, PoolState.DRAINING),
+        Route(tiers={2: FIRST}, default_tier=OTHERS),
+        1,
     ) == ["s-1"]
-    assert sent(ready(*three), Route(tiers={1: LAST}, tier=OTHERS), choice=1) != ["s-1"]
+    assert sent(ready(*three), Route(tiers={1: LAST}, default_tier=OTHERS), choice=1) != ["s-1"]
 
 
 def test_a_call_that_rules_leave_nothing_is_refused_at_once() -> None:
