--- a/pearloom/policy/lifecycle.py
+++ b/pearloom/policy/lifecycle.py
@@ -96,7 +96,7 @@
             pool.answered_sent = max(pool.answered_sent, pool.out.get(event.call, -1))
             health.heard(self._state, pool, event.setup_delay_us)
             pool.stood += 1
-        if call.current == event.attempt:
+        if call.current_attempt == event.attempt:
             self._back(call)
             call.stands = call.answered = True
 
@@ -106,7 +106,7 @@
         call = self._attempt_of(event.call, event.attempt, event.server)
         pool = state.pools.get(event.server)
         call.unsettled -= 1
-        was_out = call.current == event.attempt
+        was_out = call.current_attempt == event.attempt
         if was_out:
             self._back(call)
         if pool is not None:
@@ -175,7 +175,7 @@
             line, aside = self._held[rank], list[Call]()
             while line:
                 call = line[0]
-                if not call.answered and call.current < 0:
+                if not call.answered and call.current_attempt < 0:
                     if rank <= state.shut_rank:  # a gate that is shut is shut for lower ranks too
                         break
                     pool = routes.choose(state, call)
@@ -204,7 +204,7 @@
             return
         if state.now >= call.deadline:
             self._answer(call, refuse=False)
-        elif call.current >= 0:
+        elif call.current_attempt >= 0:
             self._check(call)
         else:
             self._place(call)
@@ -229,7 +229,7 @@
         back = state.now + state.settings.release_us
         useful = call.kind.repeatable and call.deadline - back > USEFUL * pool.base_us
         if (silent or overtaken) and useful and state.settings.may_cancel:
-            state.actions.append(api.CancelAttempt(call.name, call.current))
+            state.actions.append(api.CancelAttempt(call.name, call.current_attempt))
             call.hold_until = min(call.deadline, back + int(HOLD * call.kind.aim_us))
             self._wake(call, call.deadline)
         else:
@@ -240,13 +240,13 @@
         pool = self._state.pools.get(call.server)
         if pool is not None:
             pool.out.pop(call.name, None)
-        call.current = -1
+        call.current_attempt = -1
 
     def _answer(self, call: Call, refuse: bool) -> None:
         """The one final answer."""
         state = self._state
-        if call.current >= 0 and state.settings.may_cancel:
-            state.actions.append(api.CancelAttempt(call.name, call.current))
+        if call.current_attempt >= 0 and state.settings.may_cancel:
+            state.actions.append(api.CancelAttempt(call.name, call.current_attempt))
         call.answered = True
         if call.number:
             self._unserved[call.number, call.kind] = call.wanted_since
@@ -268,7 +268,7 @@
         state = self._state
         if not routes.is_allowed(state, call, pool):
             return False
-        call.current, call.server, call.attempts = call.attempts, pool.server, call.attempts + 1
+        call.current_attempt, call.server, call.attempts = call.attempts, pool.server, call.attempts + 1
         call.unsettled += 1
         pool.out[call.name] = state.now
         pool.sends.append(state.now)
--- a/pearloom/policy/state.py
+++ b/pearloom/policy/state.py
@@ -67,7 +67,7 @@
     answered: bool = False
     stands: bool = False
     attempts: int = 0
-    current: int = -1  # number of the attempt that is out
+    current_attempt: int = -1  # number of the attempt that is out
     server: str = ""  # where it is out, or stands
     may_have_run: bool = False
     erred: str = ""  # the server that failed it
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -68,8 +68,8 @@
     def serve_out(self) -> None:
         """Let all set-ups that are out stand and end at once."""
         for name, call in list(self.controller._calls._calls.items()):
-            if call.current >= 0:
-                self.tell(api.CallStands(name, call.current, call.server, 50_000))
+            if call.current_attempt >= 0:
+                self.tell(api.CallStands(name, call.current_attempt, call.server, 50_000))
                 self.tell(
                     api.AttemptEnded(name, call.attempts - 1, call.server, api.Ending.ENDED, call_over=True)
                 )
