--- a/pearloom/policy/cold_start.py
+++ b/pearloom/policy/cold_start.py
@@ -22,4 +22,4 @@
     share = state.settings.cold_share + COLD_RAMP * (1 - state.settings.cold_share) * max(warmed, 0.0)
     lines = state.least_lines if pool.lines == 1 else pool.lines  # a new pool's size is told late
     budget = COLD_SAFETY * state.settings.fall_multiple * share * state.warm_rate * lines * window / 1e6
-    return len(pool.sends) < int(budget + pool.turn)
+    return len(pool.sends) < int(budget + pool.budget_rounding)
--- a/pearloom/policy/controller.py
+++ b/pearloom/policy/controller.py
@@ -79,7 +79,7 @@
                 pool.lines = max((p.lines for p in state.pools.values() if p.cell == entry.cell), default=1.0)
                 if entry.started_us > 0:
                     pool.cold_until = entry.started_us + state.settings.warm_after_us
-                    pool.turn = state.random.random()
+                    pool.budget_rounding = state.random.random()
                     if event.kind is ListKind.CACHED:
                         # Guards against a turn that a proxy had before its restart and now takes again.
                         pool.sends = deque([state.now] * state.settings.max_attempts)
