--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -38,7 +38,7 @@
     Guard("the snapshot's checksum", "rules/snapshots.py", "if sha256(body).hexdigest().encode() != checksum:", "if False:", (SHELF,)),
     Guard("the snapshot's format", "rules/snapshots.py", "if found.format != FORMAT:", "if False:", (SHELF,)),
     Guard("kinds of calls are bounded", "rules/table.py", "first_choice if first_choice in self._choices else -1", "first_choice", (TABLE,)),
-    Guard("a route only narrows", "policy/routes.py", "(call.route is None or leaves(call.route, pool)) and ", "", (TABLE,)),
+    Guard("a route only narrows", "policy/routes.py", "(call.route is None or permits(call.route, pool)) and ", "", (TABLE,)),
     Guard("what rules leave nothing is refused at once", "policy/lifecycle.py", "if route is not None and ready and not any(", "if False and not any(", (TABLE,)),
     Guard("a held call's rules hold up nobody", "policy/lifecycle.py", "                        if call.route is None:\n", "                        if True:\n", (TABLE,)),
     Guard("of one life the last value counts", "rollout/evidence.py", "or joined[key].told < one.told", "or True", (COUNTS,)),
--- a/pearloom/policy/lifecycle.py
+++ b/pearloom/policy/lifecycle.py
@@ -157,7 +157,7 @@
         if pool is not None and self._send(call, pool):
             return
         route, ready = call.route, [p for p in state.pools.values() if p.state is PoolState.READY]
-        if route is not None and ready and not any(routes.leaves(route, pool) for pool in ready):
+        if route is not None and ready and not any(routes.permits(route, pool) for pool in ready):
             self._answer(call, refuse=True)  # to wait would be for nothing
         elif state.now < call.hold_until:
             self._held[call.rank].append(call)
--- a/pearloom/policy/routes.py
+++ b/pearloom/policy/routes.py
@@ -19,10 +19,10 @@
         return False
     if call.kind.cells and pool.cell not in call.kind.cells:
         return False
-    return (call.route is None or leaves(call.route, pool)) and cold_start.has_headroom(state, pool)
+    return (call.route is None or permits(call.route, pool)) and cold_start.has_headroom(state, pool)
 
 
-def leaves(route: api.Route, pool: Pool) -> bool:
+def permits(route: api.Route, pool: Pool) -> bool:
     """Do the rules leave the call this pool? They only narrow: what else forbids it still does."""
     return pool.cell not in route.closed_cells and (
         route.allowed_cells is None or pool.cell in route.allowed_cells
