--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -128,10 +128,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What operators' rules say of one call's way: among the pools that are open to it anyway.
+    """What the operators' routing rules say of one call, among the pools that are open to it anyway.
 
-    `allowed_cells`: the cells that it may use (None: all), less `closed_cells`. `tiers`: cell -> order, lower first;
-    a cell not named has `default_tier`. `weights`: cell -> factor above 0 in a draw; 1 where not named."""
+    `allowed_cells`: the cells that the call may use (None: all), less `closed_cells`. `tiers`: cell -> order,
+    lower first; a cell not named has `default_tier`. `weights`: cell -> factor above 0 in a random choice; 1
+    where not named."""
 
     allowed_cells: frozenset[int] | None = None
     closed_cells: frozenset[int] = frozenset()
--- a/pearloom/policy/routes.py
+++ b/pearloom/policy/routes.py
@@ -8,12 +8,8 @@
 
 def is_allowed(state: State, call: Call, pool: Pool) -> bool:
     """May this call go to this pool now, by the rules alone?"""
-    if (
-        call.answered
-        or call.current_attempt >= 0
-        or call.attempts >= state.settings.max_attempts
-        or call.sealed
-    ):
+    if (call.answered or call.current_attempt >= 0 or call.attempts >= state.settings.max_attempts
+            or call.sealed):  # fmt: skip
         return False
     if not call.release_at <= state.now < call.deadline or pool.state is not PoolState.READY:
         return False
--- a/pearloom/policy/state.py
+++ b/pearloom/policy/state.py
@@ -26,9 +26,7 @@
     limit: float
     started_us: int = 0
     cold_until: int = 0
-    budget_rounding: float = (
-        0.0  # 0 to 1, drawn: which part of the fleet has its turn while there is less than one each
-    )
+    budget_rounding: float = 0.0  # 0 to 1, drawn: rounds a cold budget below one call up at some softswitches
     credit: float = RATE_LIMIT_BURST  # calls that the rate limit leaves to send
     credit_at: int = 0
     out: dict[str, int] = field(default_factory=dict)  # unanswered set-ups: call -> sent at
