--- a/pearloom/policy/routes.py
+++ b/pearloom/policy/routes.py
@@ -21,8 +21,7 @@
 def permits(route: api.Route, pool: Pool) -> bool:
     """Do the rules leave the call this pool? They only narrow: what else forbids it still does."""
     return pool.cell not in route.closed_cells and (
-        route.allowed_cells is None or pool.cell in route.allowed_cells
-    )
+        route.allowed_cells is None or pool.cell in route.allowed_cells)  # fmt: skip
 
 
 def choose(state: State, call: Call) -> Pool | None:
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -96,7 +96,7 @@
     proxy = Proxy()
     proxy.serve(30, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
-    proxy.ended(proxy.count, A, api.Ending.RESET, line_only=True)
+    proxy.ended(proxy.count, A, api.Ending.RESET, is_connection_fault=True)
     assert sends(proxy.call()) == sends(proxy.call()) == [A]
 
 
