--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -16,7 +16,7 @@
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters, Figures
-from pearloom.core.decider import Decider, arrival
+from pearloom.core.decider import Decider, call_arrived_event
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import note
 from pearloom.core.remembered import Remembered
@@ -55,7 +55,7 @@
         self.stay_away_ms = settings.stay_away_us(FULL_STAY_AWAY_US) / 1000.0  # told where there is no room
         self.account = Account(clock, counters, figures, settings.classes)
         self.decider = Decider(clock, settings, seed, round_ms, self._act)
-        self._tell = self.decider.tell
+        self._tell = self.decider.handle_event
         self._calls: dict[str, Call] = {}
         self._standing = Standing()
         self._over = Remembered(REMEMBERED, REMEMBERED_MS)
@@ -85,7 +85,7 @@
         return self._figures.text(
             outstanding=self.open_calls + self.standing_calls,
             discovered=self._servers.discovered,
-            ejected=self.decider.avoided,
+            ejected=self.decider.ejected_count,
         )
 
     def standing_at(self, server: str) -> int:
@@ -147,7 +147,7 @@
         way = self.account.way(offer)
         self._calls[offer.call] = Call(offer, caller, arrived_ms=self._clock.now_ms(), way=way)
         self._backlog.add(offer)
-        self._tell(arrival(offer, way))
+        self._tell(call_arrived_event(offer, way))
 
     def refuse(self, offer: Offer, caller: Caller) -> None:
         """A new set-up that the callers' side has no room for; nothing is decided of the call."""
