--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -73,7 +73,7 @@
         return self._clock.now_ms()
 
     @property
-    def takes_work(self) -> bool:
+    def is_in_service(self) -> bool:
         """Is the front to send new callers here?"""
         return not self.drained and (self.yielded or not self.stopping)
 
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -204,7 +204,7 @@
                 self._side.counters.add("releases_heard")
                 self.unheard.pop(message.call, None)
             case Type.TEST:
-                cause = 1 if self._side.takes_work else 0
+                cause = 1 if self._side.is_in_service else 0
                 reply = Message(Type.TESTED, message.call, {Code.CAUSE: bytes([cause])})
                 self._send(OutboundMessage(isup.encode(reply)))
             case Type.PROGRESS | Type.GROUP_STATE | Type.TESTED:
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -101,7 +101,7 @@
             counters,
             self.iax2,
             OfferRules(self._config),
-            lambda: callers.takes_work,
+            lambda: callers.is_in_service,
             lambda: callers.refuses,
         )
         return Fronts(callers, self.front, counters)
