--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -273,7 +273,7 @@
     def _heard_from_younger(self, other: _Other, message: Message) -> None:
         match message["say"]:
             case "took":
-                self._callers.yield_()
+                self._callers.stop_accepting()
                 self._unlisten()
                 other.to_say.append({"say": "yielded"})
                 note(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -106,7 +106,7 @@
         """Take work again; may be repeated."""
         self._drained_since = math.inf
 
-    def yield_(self) -> None:
+    def stop_accepting(self) -> None:
         """Another process accepts from now on: stop, and let go of what is here."""
         if not self.yielded and self._accepting is not None:
             self._accepting.kill()
