--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -266,7 +266,7 @@
         if self._callers.yielded and not self._callers.stopping:
             # Guards against a younger process that dies: this one serves on.
             note(logging.WARNING, "handover_undone")
-            self._callers.resume()
+            self._callers.resume_accepting()
             if self._path is not None:
                 self.listen(self._path)
 
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -113,7 +113,7 @@
             self.yielded, self._yielded_since = True, self._clock.now_ms()
             self._empty()
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """The other process is gone: accept again."""
         self.yielded, self._yielded_since = False, math.inf
         if self.listener is not None:
