--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -321,7 +321,7 @@
             crashed("handover_failed")
         self._elder = None
         other.channel.sock.close()
-        self._callers.held_elsewhere = 0
+        self._callers.previous_process_connections = 0
         self._exchange.open_elsewhere = set()
         self._accepts_here.set()
         note(logging.INFO, "elder_gone", inherited=len(self._inherited))
@@ -342,7 +342,7 @@
             case "open":
                 self._exchange.open_elsewhere = set(message["calls"])
             case "held":
-                self._callers.held_elsewhere = message["connections"]
+                self._callers.previous_process_connections = message["connections"]
             case "release":
                 self._callers.release(message["call"], message["cause"], None)
             case "yielded":
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -50,7 +50,7 @@
         self.counters = counters
         self.stopping = False
         self.yielded = False  # another process accepts in place of this one
-        self.held_elsewhere = 0  # connections of the other process of an upgrade
+        self.previous_process_connections = 0  # connections of the other process of an upgrade
         self.elsewhere: Callable[[str, int], bool] = lambda call, cause: False  # who else can tell a release
         self.listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
@@ -192,7 +192,7 @@
 
     def _make_room(self) -> bool:
         """Guards against running out of descriptors; where all have set-ups under way there is no room."""
-        if len(self._connections) < self.most - self.held_elsewhere:
+        if len(self._connections) < self.most - self.previous_process_connections:
             return True
         now = self.now_ms()
         kept = set(islice(reversed(self._talkers), TALKERS_KEPT))
