--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -99,7 +99,7 @@
         self.handover = Handover(
             config.known_digest, self.exchange, self.callers, self.servers, self.coordinator
         )
-        self.callers.elsewhere = self.handover.release
+        self.callers.forward_release = self.handover.release
         self.serves = False
 
     def start(self, config: Config, legacy: Legacy | None, folder: str) -> None:
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -51,7 +51,9 @@
         self.stopping = False
         self.yielded = False  # another process accepts in place of this one
         self.previous_process_connections = 0  # connections of the other process of an upgrade
-        self.elsewhere: Callable[[str, int], bool] = lambda call, cause: False  # who else can tell a release
+        self.forward_release: Callable[[str, int], bool] = (
+            lambda call, cause: False
+        )  # who else can tell a release
         self.listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
         self._drained_since = math.inf
@@ -273,7 +275,7 @@
             # Guards against connections that never brought a call: nobody may be listening there.
             chosen = next(reversed(self._talkers), None)
         if chosen is None:
-            if not self.elsewhere(call, cause):
+            if not self.forward_release(call, cause):
                 self._unsent.append((call, cause))
         else:
             chosen.release(call, cause, since_ms)
