--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -95,7 +95,7 @@
         return self._clock.now_ms() - min(self._drained_since, self._yielded_since)
 
     @property
-    def refuses(self) -> bool:
+    def is_refusing(self) -> bool:
         """Has a drain or an upgrade gone on for so long that set-ups are refused?"""
         return self.emptied_ms > EMPTY_FOR_MS
 
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -239,7 +239,7 @@
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
         self._side.talked(self)
-        if len(self.open) >= MOST_OPEN_EACH or self._side.refuses:
+        if len(self.open) >= MOST_OPEN_EACH or self._side.is_refusing:
             # Guards against one connection that takes what all callers share, and against one that is never
             # without a set-up and so would outlive a drain.
             exchange.refuse(offer, self)
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -102,7 +102,7 @@
             self.iax2,
             OfferRules(self._config),
             lambda: callers.is_in_service,
-            lambda: callers.refuses,
+            lambda: callers.is_refusing,
         )
         return Fronts(callers, self.front, counters)
 
