--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -198,7 +198,7 @@
             if yielded and not self.exchange.open_calls + self.callers.connections:
                 break  # what stands is the other process's
             held = self.exchange.open_calls + self.exchange.standing_calls
-            if gone >= STILL_COMING_MS and not held and self.callers.is_quiet:
+            if gone >= STILL_COMING_MS and not held and self.callers.is_idle:
                 break
             if gone >= killed - ANSWER_EARLY_MS:
                 # Guards against set-ups that wait for longer than this process lives.
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -122,7 +122,7 @@
             self._accepting = gevent.spawn(self._accept, self.listener)
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Is nothing under way on any connection, and nothing left to read or write?"""
         return not any(caller.is_busy for caller in self._connections)
 
