--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -74,7 +74,7 @@
             )
         }
         calls = most_calls(config.descriptors)
-        left = config.descriptors - self.callers.most - calls - OWN_DESCRIPTORS
+        left = config.descriptors - self.callers.max_connections - calls - OWN_DESCRIPTORS
         self.servers = Directory(self.exchange, clock, self.counters, makers, left)
         sides: CallerSide = self.callers
         if installation is not None:
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -63,7 +63,7 @@
         self._rules = OfferRules(config)
         self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.most_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
-        self.most = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
+        self.max_connections = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
         self._connections: dict[CallerConnection, None] = {}
         self._talkers: OrderedDict[CallerConnection, None] = (
             OrderedDict()
@@ -194,7 +194,7 @@
 
     def _make_room(self) -> bool:
         """Guards against running out of descriptors; where all have set-ups under way there is no room."""
-        if len(self._connections) < self.most - self.previous_process_connections:
+        if len(self._connections) < self.max_connections - self.previous_process_connections:
             return True
         now = self.now_ms()
         kept = set(islice(reversed(self._talkers), TALKERS_KEPT))
@@ -206,14 +206,14 @@
         closed = 0
         # Guards against a crowd that all have something to read: to ask each of them costs too much.
         for (kind, _), _, caller in sorted(ranked)[:MOST_LOOKS]:
-            if closed >= max(EVICTED_SHARE * self.most, 1) or (closed and kind > 1):
+            if closed >= max(EVICTED_SHARE * self.max_connections, 1) or (closed and kind > 1):
                 break
             if not caller.connection.busy:
                 closed += 1
                 self.counters.add("caller_connections_closed")
                 caller.connection.close("too many connections")
         if not closed:
-            note(logging.WARNING, "caller_connections_full", most=self.most)
+            note(logging.WARNING, "caller_connections_full", most=self.max_connections)
         return closed > 0
 
     def _watch(self) -> None:
