--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -26,7 +26,7 @@
 from pearloom.core.logs import configure, note
 from pearloom.core.sides import CallerSide
 from pearloom.servers.coordinator import Coordinator, cached
-from pearloom.servers.directory import SIP, Directory, Maker
+from pearloom.servers.directory import SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
 from pearloom.sip.trunk import Trunk
 
@@ -68,7 +68,7 @@
             config.memory_mb,
         )
         self.callers = Callers(self.exchange, clock, self.counters, config)
-        makers: dict[str, Maker] = {
+        makers: dict[str, TrunkFactory] = {
             SIP: lambda side, server: Trunk(
                 side, server, config.dial_timeout_ms, config.idle_ms, config.handshake_price
             )
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -27,7 +27,7 @@
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
 from pearloom.records import Fields, RecordError, parse
-from pearloom.servers.directory import IAX2, SIP, Directory, Maker
+from pearloom.servers.directory import IAX2, SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
         counters: Counters,
         callers: Callers,
         servers: Directory,
-        makers: dict[str, Maker],
+        makers: dict[str, TrunkFactory],
     ) -> CallerSide:
         """Add the trunks and the listener; returns all callers' sides as one."""
         first = 1 + secrets.randbelow(0x7000)  # legs of a process before this one have other numbers
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -71,7 +71,7 @@
         """The server is gone and owes nothing."""
 
 
-Maker = Callable[["Directory", Server], Trunk]
+TrunkFactory = Callable[["Directory", Server], Trunk]
 
 
 class Directory:
@@ -82,7 +82,7 @@
         exchange: Exchange,
         clock: Clock,
         counters: Counters,
-        makers: Mapping[str, Maker],
+        makers: Mapping[str, TrunkFactory],
         most_connections: int,
     ) -> None:
         """Know no server yet; `makers` has what makes a trunk for each protocol.
