--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -91,7 +91,7 @@
         makers[IAX2] = lambda side, server: IaxTrunk(
             side, server, self.iax2.server_secrets.get(server.entry.server, ""), first
         )
-        servers.speaks = lambda server: IAX2 if self.iax2.speaks(server) else SIP
+        servers.protocol_of = lambda server: IAX2 if self.iax2.speaks(server) else SIP
         self._servers, self._exchange, self._counters = servers, exchange, counters
         if self.iax2.listen is None:
             return callers
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -93,7 +93,7 @@
         self.clock = clock
         self.counters = counters
         self._makers = makers
-        self.speaks: Callable[[str], str] = lambda server: SIP  # by a server's id, which protocol
+        self.protocol_of: Callable[[str], str] = lambda server: SIP  # by a server's id, which protocol
         self._trunks: dict[str, Trunk] = {}
 
     def start(self) -> None:
@@ -128,7 +128,7 @@
 
     def _make(self, server: Server) -> Trunk:
         name = server.entry.server
-        self._trunks[name] = trunk = self._makers[self.speaks(name)](self, server)
+        self._trunks[name] = trunk = self._makers[self.protocol_of(name)](self, server)
         return trunk
 
     # --- exchange.ServerSide
