--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -239,14 +239,14 @@
         try:
             servers = [
                 [one.entry.server, one.entry.cell, one.entry.state.value, one.entry.started_us, *one.address]
-                for one in self._servers.listing()
+                for one in self._servers.listed_servers()
             ]
             first = {
                 "say": "list",
                 "known": self._known_digest,
                 "index": self._coordinator.index,
                 "servers": servers,
-                "zones": {one.entry.server: one.zone for one in self._servers.listing()},
+                "zones": {one.entry.server: one.zone for one in self._servers.listed_servers()},
                 "drained": self._callers.drained,
             }
             # The socket goes with the first byte; the line may be longer than one write takes.
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -147,7 +147,7 @@
             if trunk.name not in named:
                 trunk.update(gone(trunk.server))
 
-    def listing(self) -> list[Server]:
+    def listed_servers(self) -> list[Server]:
         """The list as it is now."""
         servers = [trunk.server for trunk in self._trunks.values()]
         return [server for server in servers if server.entry.state is not PoolState.GONE]
@@ -171,7 +171,7 @@
     @property
     def discovered(self) -> int:
         """How many are in the list."""
-        return len(self.listing())
+        return len(self.listed_servers())
 
     def withdraw_unsent(self) -> None:
         """End what has not begun to leave for a server that is not ready."""
