--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -153,7 +153,7 @@
         return [server for server in servers if server.entry.state is not PoolState.GONE]
 
     @property
-    def settled(self) -> bool:
+    def has_finished_dialling(self) -> bool:
         """Has each connection that was asked for come up, or failed?"""
         return not any(trunk.dialling for trunk in self._trunks.values())
 
