--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -327,7 +327,7 @@
         note(logging.INFO, "elder_gone", inherited=len(self._inherited))
         # Guards against a release that a session server wrote to a connection which ended with the elder: it
         # sends it again on the next one that is opened.
-        self._servers.dial_all()
+        self._servers.dial_servers_with_calls()
 
     def _heard_from_elder(self, message: Message) -> None:
         match message["say"]:
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -157,7 +157,7 @@
         """Has each connection that was asked for come up, or failed?"""
         return not any(trunk.dialling for trunk in self._trunks.values())
 
-    def dial_all(self) -> None:
+    def dial_servers_with_calls(self) -> None:
         """Open a further connection to each server where anything stands."""
         for trunk in self._trunks.values():
             if self.exchange.standing_at(trunk.name):
