--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -66,7 +66,7 @@
         return self._side.clock.now_ms()
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """May it get new set-ups?"""
         return self.server.entry.state is PoolState.READY
 
@@ -104,7 +104,9 @@
             return
         placed = _Placed(set_up)
         elements = Elements(offer_elements(set_up, "pearloom" if self._secret else ""))
-        leg = IaxLeg(number, elements, self._secret, self.now_ms, lambda: self.ready and not placed.given_up)
+        leg = IaxLeg(
+            number, elements, self._secret, self.now_ms, lambda: self.is_ready and not placed.given_up
+        )
         leg.placed = placed
         self._legs.add(leg)
         self._by_call[call] = leg
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -25,7 +25,7 @@
     server: Server
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """May it get new set-ups?"""
 
     @property
@@ -121,7 +121,7 @@
     def address_taken(self, trunk: Trunk) -> bool:
         """Is a ready server of another id listed at this trunk's address?"""
         return any(
-            other.ready and other.server.address == trunk.server.address
+            other.is_ready and other.server.address == trunk.server.address
             for other in self._trunks.values()
             if other is not trunk
         )
@@ -176,13 +176,13 @@
     def withdraw_unsent(self) -> None:
         """End what has not begun to leave for a server that is not ready."""
         for trunk in list(self._trunks.values()):
-            if not trunk.ready:
+            if not trunk.is_ready:
                 trunk.withdraw_unsent()
 
     def set_up(self, server: str, set_up: SetUp) -> None:
         """Send an attempt."""
         trunk = self._trunks.get(server)
-        if trunk is None or not trunk.ready:
+        if trunk is None or not trunk.is_ready:
             # The last guard before a server that drains or is gone.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
             self.exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -59,7 +59,7 @@
         self._liveness = Liveness(side.clock.now_ms())
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """May it get new set-ups?"""
         return self.server.entry.state is PoolState.READY
 
@@ -218,7 +218,7 @@
                     self._failed(outbound, AttemptError(Progress.CONNECTING, failure.reason))
             else:
                 self._waiting.append(outbound)
-        if refused and self._links and not self.ready:
+        if refused and self._links and not self.is_ready:
             # Guards against cutting calls of a server that drains: it takes no new connection, but those that
             # are open go on. The refusal is a sign of life of its machine.
             self._liveness.heard(self.now_ms)
@@ -281,7 +281,7 @@
             return
         self._waiting += [outbound for outbound in again if outbound not in self._waiting]
         if self._exchange.standing_at(self.name) or self._waiting:
-            if not self.ready and self._side.address_taken(self):
+            if not self.is_ready and self._side.address_taken(self):
                 # Guards against taking the process that now has this address for the one that had the calls.
                 self._lost("replaced")
             else:
@@ -297,7 +297,7 @@
         if not self._owing:
             return
         is_gone = self.server.entry.state is PoolState.GONE
-        if is_gone or (not self.ready and self._side.address_taken(self)):
+        if is_gone or (not self.is_ready and self._side.address_taken(self)):
             # Guards against taking the process that now has this address, and talks, for the one that had the
             # calls: only a connection from before them can still be the old one's.
             self._exchange.server_lost(self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced")
