--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -71,7 +71,7 @@
         return self.server.entry.state is PoolState.READY
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Is it gone, with nothing left to do?"""
         return self.server.entry.state is PoolState.GONE and not len(self._legs)
 
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -29,7 +29,7 @@
         """May it get new set-ups?"""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Is it gone, with nothing left to do?"""
 
     @property
@@ -104,7 +104,7 @@
         try:
             for trunk in list(self._trunks.values()):
                 trunk.watch()
-                if trunk.idle:
+                if trunk.is_idle:
                     trunk.close()
                     del self._trunks[trunk.name]
         except Exception:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -69,7 +69,7 @@
         return bool(self._set_ups) or self._exchange.standing_at(self.name) > 0
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Is it gone, with nothing left to do?"""
         busy = self._owing or self.dialling or self._waiting
         return self.server.entry.state is PoolState.GONE and not busy
