--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -28,7 +28,7 @@
 from pearloom.servers.coordinator import Coordinator, cached
 from pearloom.servers.directory import SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
-from pearloom.sip.trunk import Trunk
+from pearloom.sip.trunk import SipTrunk
 
 if TYPE_CHECKING:
     from pearloom.installation import Installation
@@ -69,7 +69,7 @@
         )
         self.callers = Callers(self.exchange, clock, self.counters, config)
         makers: dict[str, TrunkFactory] = {
-            SIP: lambda side, server: Trunk(
+            SIP: lambda side, server: SipTrunk(
                 side, server, config.dial_timeout_ms, config.idle_ms, config.handshake_price
             )
         }
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -16,7 +16,7 @@
 from pearloom.sip import codec as sip
 
 if TYPE_CHECKING:
-    from pearloom.sip.trunk import Trunk
+    from pearloom.sip.trunk import SipTrunk
 
 CUT_SHORT_MS = 300.0  # a message that has begun is whole by then, or never
 MUTE_MS = 1000.0  # a connection that left a set-up unanswered and says nothing for so long is closed
@@ -76,7 +76,7 @@
 class Link:
     """One connection to a session server."""
 
-    def __init__(self, trunk: Trunk, sock: socket.socket, now_ms: float) -> None:
+    def __init__(self, trunk: SipTrunk, sock: socket.socket, now_ms: float) -> None:
         """Take a connection that has come up."""
         self._trunk = trunk
         self._decoder = sip.Decoder()
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -31,7 +31,7 @@
 GIVEN_UP_KEPT_MS = 20_000.0  # a set-up given up whose last answer may still come
 
 
-class Trunk:
+class SipTrunk:
     """All that concerns one session server, by its id."""
 
     def __init__(
