--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -127,7 +127,7 @@
     def _await_beginning(self) -> None:
         """Guards against calls that wait here for a connection while the process before has one."""
         for _ in range(int(BEGIN_S / TICK_S)):
-            if self.servers.has_finished_dialling and self.coordinator.heard:
+            if self.servers.has_finished_dialling and self.coordinator.has_received:
                 return
             gevent.sleep(TICK_S)
 
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -122,7 +122,7 @@
         self._counters = counters
         self._sock: socket.socket | None = None
         self._moved = False  # the connection at hand was closed by a move, not lost
-        self.heard = False  # has a coordinator told anything, if only that there is nothing new?
+        self.has_received = False  # has a coordinator told anything, if only that there is nothing new?
 
     def start(self) -> None:
         """Follow from now on."""
@@ -172,7 +172,7 @@
 
     def take(self, update: ListUpdate | Heartbeat | Malformed) -> None:
         """One event; one that is known already changes nothing."""
-        self.heard = True
+        self.has_received = True
         if isinstance(update, Malformed):
             note(logging.WARNING, "coordinator_malformed", reason=update.reason)
             if update.fatal:
