--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -182,7 +182,7 @@
         host, port = config.coordinator
         note(logging.INFO, "reloaded", coordinator=f"{host}:{port}")
         for update in config.known:
-            self.coordinator.take(update)
+            self.coordinator.apply_event(update)
         self.coordinator.move(config.coordinator)
 
     def stop(self) -> None:
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -166,11 +166,11 @@
             decoder = Decoder(self._zones)
             while True:
                 for update in _next_frames(sock, decoder):
-                    self.take(update)
+                    self.apply_event(update)
         finally:
             sock.close()
 
-    def take(self, update: ListUpdate | Heartbeat | Malformed) -> None:
+    def apply_event(self, update: ListUpdate | Heartbeat | Malformed) -> None:
         """One event; one that is known already changes nothing."""
         self.has_received = True
         if isinstance(update, Malformed):
