--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -25,7 +25,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import configure, note
 from pearloom.core.sides import CallerSide
-from pearloom.servers.coordinator import Coordinator, cached
+from pearloom.servers.coordinator import Coordinator, merge_updates
 from pearloom.servers.directory import SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
 from pearloom.sip.trunk import SipTrunk
@@ -81,7 +81,7 @@
             sides = installation.join(self.exchange, clock, self.counters, self.callers, self.servers, makers)
         self.exchange.attach(sides, self.servers)
         self.listing = PoolView(self.exchange.told)
-        self.listing.told(api.ListKind.CACHED, cached(config.known))
+        self.listing.told(api.ListKind.CACHED, merge_updates(config.known))
         self.coordinator = Coordinator(
             config.coordinator, config.known_index, self.listing, self.counters, config.zone_names
         )
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -83,7 +83,7 @@
     return ListUpdate(number, kind == _WHOLE, tuple(servers))
 
 
-def cached(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
+def merge_updates(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
     """The list that the known events add up to."""
     servers: dict[str, Server] = {}
     for update in updates:
