--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -23,7 +23,7 @@
 from pearloom.servers.discovery import PoolView
 
 DIAL_S = 1.0
-SILENT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
+FRAME_TIMEOUT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
 REDIAL_S = 0.1
 MOST_BYTES = 1 << 20
 READ_BYTES = 64 * 1024
@@ -99,7 +99,7 @@
 
     Guards against a stream that falls silent, be it in the middle of a frame or with a byte now and then: a
     whole frame is owed each second."""
-    with gevent.Timeout(SILENT_S, TimeoutError("no whole frame")):
+    with gevent.Timeout(FRAME_TIMEOUT_S, TimeoutError("no whole frame")):
         while True:
             data = sock.recv(READ_BYTES)
             if not data:
--- a/tests/races/test_coordinator.py
+++ b/tests/races/test_coordinator.py
@@ -19,7 +19,7 @@
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a byte now and then that makes a silent stream look alive."""
-    monkeypatch.setattr(coordinator, "SILENT_S", 0.2)
+    monkeypatch.setattr(coordinator, "FRAME_TIMEOUT_S", 0.2)
     scene.do(("co", "opens", ""), ("co", "<", ASKED_FROM_1), ("co", ">", "[0000000000000000 00]"))
     first = scene.peers["co"]
     frame = encode(scene.filled(f"[0000000000000002 {DRAINS_1}]"))
