--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -81,7 +81,7 @@
             sides = installation.join(self.exchange, clock, self.counters, self.callers, self.servers, makers)
         self.exchange.attach(sides, self.servers)
         self.listing = PoolView(self.exchange.told)
-        self.listing.told(api.ListKind.CACHED, merge_updates(config.known))
+        self.listing.apply_event(api.ListKind.CACHED, merge_updates(config.known))
         self.coordinator = Coordinator(
             config.coordinator, config.known_index, self.listing, self.counters, config.zone_names
         )
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -183,4 +183,4 @@
             states = ",".join(f"{one.entry.server}:{one.entry.state.value}" for one in update.servers)
             note(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
             kind = api.ListKind.COMPLETE if update.whole else api.ListKind.CHANGES
-            self._listing.told(kind, update.servers)
+            self._listing.apply_event(kind, update.servers)
--- a/pearloom/servers/discovery.py
+++ b/pearloom/servers/discovery.py
@@ -37,7 +37,7 @@
         """Every server that is listed and not gone, as the coordinator told of it."""
         return self._listed
 
-    def told(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
+    def apply_event(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
         """An event of the list."""
         if kind is not api.ListKind.CHANGES:
             self._listed = {}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -35,7 +35,7 @@
 
 def test_what_is_withheld_drains_and_comes_back() -> None:
     told = Told()
-    told.listing.told(ListKind.COMPLETE, [server(name) for name in NAMES])
+    told.listing.apply_event(ListKind.COMPLETE, [server(name) for name in NAMES])
     told.listing.withhold([NAMES[0], "s-ffffffff"])
     assert told.states[NAMES[0]] is PoolState.DRAINING and told.states[NAMES[1]] is PoolState.READY
     told.listing.withhold([NAMES[0]])
@@ -48,9 +48,9 @@
     told = Told()
     told.listing.withhold([NAMES[0]])
     for kind in (ListKind.CACHED, ListKind.CHANGES, ListKind.COMPLETE):
-        told.listing.told(kind, [server(NAMES[0])])
+        told.listing.apply_event(kind, [server(NAMES[0])])
         assert told.states[NAMES[0]] is PoolState.DRAINING
-    told.listing.told(ListKind.CHANGES, [server(NAMES[0], PoolState.GONE)])
+    told.listing.apply_event(ListKind.CHANGES, [server(NAMES[0], PoolState.GONE)])
     assert told.states[NAMES[0]] is PoolState.GONE
     told.listing.withhold([])
     assert told.states[NAMES[0]] is PoolState.GONE, "one that is gone does not come back by it"
@@ -75,7 +75,7 @@
             told.listing.withhold(event)
         else:
             kind, states = event
-            told.listing.told(kind, [server(name, state) for name, state in states])
+            told.listing.apply_event(kind, [server(name, state) for name, state in states])
         ready = {name for name, state in told.states.items() if state is PoolState.READY}
         assert not ready & told.listing.withheld
         assert ready | told.listing.withheld >= {
