--- a/pearloom/servers/discovery.py
+++ b/pearloom/servers/discovery.py
@@ -30,7 +30,7 @@
         self._tell = tell
         self._listed: dict[str, Server] = {}
         self.withheld: frozenset[str] = frozenset()
-        self.on_told: list[Callable[[], None]] = []  # called after each event
+        self.on_list_event: list[Callable[[], None]] = []  # called after each event
 
     @property
     def listed(self) -> Mapping[str, Server]:
@@ -47,7 +47,7 @@
             else:
                 self._listed[server.entry.server] = server
         self._tell(kind, [shown(server, self.withheld) for server in servers])
-        for heard in self.on_told:
+        for heard in self.on_list_event:
             heard()
 
     def withhold(self, servers: Iterable[str]) -> None:
