--- a/pearloom/servers/discovery.py
+++ b/pearloom/servers/discovery.py
@@ -15,7 +15,7 @@
 Told = Callable[[api.ListKind, Sequence[Server]], None]
 
 
-def shown(server: Server, withheld: frozenset[str]) -> Server:
+def apply_withholding(server: Server, withheld: frozenset[str]) -> Server:
     """The server as all others here are to see it: one that is withheld drains, whatever the list says."""
     if server.entry.server not in withheld or server.entry.state is not api.PoolState.READY:
         return server
@@ -46,7 +46,7 @@
                 self._listed.pop(server.entry.server, None)
             else:
                 self._listed[server.entry.server] = server
-        self._tell(kind, [shown(server, self.withheld) for server in servers])
+        self._tell(kind, [apply_withholding(server, self.withheld) for server in servers])
         for heard in self.on_list_event:
             heard()
 
@@ -55,4 +55,4 @@
         before, self.withheld = self.withheld, frozenset(servers)
         changed = [self._listed[name] for name in sorted(before ^ self.withheld) if name in self._listed]
         if changed:
-            self._tell(api.ListKind.CHANGES, [shown(server, self.withheld) for server in changed])
+            self._tell(api.ListKind.CHANGES, [apply_withholding(server, self.withheld) for server in changed])
