--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -240,7 +240,7 @@
 
     def read_offer(self, message: Message) -> Offer | None:
         """The set-up in a message, or None where it lacks what a set-up needs."""
-        told = message.text(Code.FIGURES, absent="")
+        told = message.text(Code.ATTRIBUTES, absent="")
         if told is None or (told and not _FIGURES.fullmatch(told)):
             return None
         figures = {
--- a/pearloom/binary/isup.py
+++ b/pearloom/binary/isup.py
@@ -40,7 +40,7 @@
     PATIENCE_MS = 6
     TENANT = 9
     NUMBER = 15
-    FIGURES = 18
+    ATTRIBUTES = 18
     STAY_AWAY_MS = 21
     CAUSE = 45
     DESCRIPTION = 48
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -74,7 +74,7 @@
             int(Code.CLASS): offer.class_name.encode(),
             int(Code.PATIENCE_MS): str(int(offer.patience_ms)).encode(),
             int(Code.NUMBER): offer.number.encode(),
-            int(Code.FIGURES): figures.encode(),
+            int(Code.ATTRIBUTES): figures.encode(),
             int(Code.DESCRIPTION): offer.description,
         }
         sock = self._connected()  # before anything is noted: where nobody listens, nothing was offered
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -86,7 +86,7 @@
         int(Code.CLASS): kind.encode(),
         int(Code.PATIENCE_MS): str(site.patience_ms).encode(),
         int(Code.NUMBER): b"7f3a9c21e0b4d655",
-        int(Code.FIGURES): b"dest:0;width:1;via:-1",
+        int(Code.ATTRIBUTES): b"dest:0;width:1;via:-1",
         int(Code.DESCRIPTION): b"sdp-c",
     }
     if site.tenants:
