--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -198,8 +198,8 @@
                 cause = message.cause
                 self.open.discard(message.call)
                 self._side.exchange.left(message.call, Cause.NORMAL if cause is None else cause)
-                self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_HEARD, message.call))))
-            case Type.RELEASE_HEARD:
+                self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_COMPLETE, message.call))))
+            case Type.RELEASE_COMPLETE:
                 self._side.talked(self)
                 self._side.counters.add("releases_heard")
                 self.unheard.pop(message.call, None)
--- a/pearloom/binary/isup.py
+++ b/pearloom/binary/isup.py
@@ -27,7 +27,7 @@
     PROGRESS = 6  # ACM, CPG
     ANSWER = 9  # ANM
     RELEASE = 12  # REL
-    RELEASE_HEARD = 16  # RLC
+    RELEASE_COMPLETE = 16  # RLC
     GROUP_STATE = 43
     TEST = 52
     TESTED = 53
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -126,7 +126,7 @@
             made = message.parameters.get(Code.DESCRIPTION, b"")
             self._journal.add(What.STANDS, self.name, message.call, description=made)
         elif message.type == Type.RELEASE:
-            sock.sendall(isup.encode(Message(Type.RELEASE_HEARD, message.call)))
+            sock.sendall(isup.encode(Message(Type.RELEASE_COMPLETE, message.call)))
             if held is not None:
                 del self._calls[message.call]
                 refused = message.cause in REFUSED
