--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -25,10 +25,10 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import configure, note
 from pearloom.core.sides import CallerSide
-from pearloom.servers.coordinator import Coordinator, cached
-from pearloom.servers.directory import SIP, Directory, Maker
+from pearloom.servers.coordinator import Coordinator, merge_updates
+from pearloom.servers.directory import SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
-from pearloom.sip.trunk import Trunk
+from pearloom.sip.trunk import SipTrunk
 
 if TYPE_CHECKING:
     from pearloom.installation import Installation
@@ -68,20 +68,20 @@
             config.memory_mb,
         )
         self.callers = Callers(self.exchange, clock, self.counters, config)
-        makers: dict[str, Maker] = {
-            SIP: lambda side, server: Trunk(
+        makers: dict[str, TrunkFactory] = {
+            SIP: lambda side, server: SipTrunk(
                 side, server, config.dial_timeout_ms, config.idle_ms, config.handshake_price
             )
         }
         calls = most_calls(config.descriptors)
-        left = config.descriptors - self.callers.most - calls - OWN_DESCRIPTORS
+        left = config.descriptors - self.callers.max_connections - calls - OWN_DESCRIPTORS
         self.servers = Directory(self.exchange, clock, self.counters, makers, left)
         sides: CallerSide = self.callers
         if installation is not None:
             sides = installation.join(self.exchange, clock, self.counters, self.callers, self.servers, makers)
         self.exchange.attach(sides, self.servers)
         self.listing = PoolView(self.exchange.told)
-        self.listing.told(api.ListKind.CACHED, cached(config.known))
+        self.listing.apply_event(api.ListKind.CACHED, merge_updates(config.known))
         self.coordinator = Coordinator(
             config.coordinator, config.known_index, self.listing, self.counters, config.zone_names
         )
@@ -99,7 +99,7 @@
         self.handover = Handover(
             config.known_digest, self.exchange, self.callers, self.servers, self.coordinator
         )
-        self.callers.elsewhere = self.handover.release
+        self.callers.forward_release = self.handover.release
         self.serves = False
 
     def start(self, config: Config, legacy: Legacy | None, folder: str) -> None:
@@ -127,7 +127,7 @@
     def _await_beginning(self) -> None:
         """Guards against calls that wait here for a connection while the process before has one."""
         for _ in range(int(BEGIN_S / TICK_S)):
-            if self.servers.settled and self.coordinator.heard:
+            if self.servers.has_finished_dialling and self.coordinator.has_received:
                 return
             gevent.sleep(TICK_S)
 
@@ -182,7 +182,7 @@
         host, port = config.coordinator
         note(logging.INFO, "reloaded", coordinator=f"{host}:{port}")
         for update in config.known:
-            self.coordinator.take(update)
+            self.coordinator.apply_event(update)
         self.coordinator.move(config.coordinator)
 
     def stop(self) -> None:
@@ -198,7 +198,7 @@
             if yielded and not self.exchange.open_calls + self.callers.connections:
                 break  # what stands is the other process's
             held = self.exchange.open_calls + self.exchange.standing_calls
-            if gone >= STILL_COMING_MS and not held and self.callers.is_quiet:
+            if gone >= STILL_COMING_MS and not held and self.callers.is_idle:
                 break
             if gone >= killed - ANSWER_EARLY_MS:
                 # Guards against set-ups that wait for longer than this process lives.
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -239,14 +239,14 @@
         try:
             servers = [
                 [one.entry.server, one.entry.cell, one.entry.state.value, one.entry.started_us, *one.address]
-                for one in self._servers.listing()
+                for one in self._servers.listed_servers()
             ]
             first = {
                 "say": "list",
                 "known": self._known_digest,
                 "index": self._coordinator.index,
                 "servers": servers,
-                "zones": {one.entry.server: one.zone for one in self._servers.listing()},
+                "zones": {one.entry.server: one.zone for one in self._servers.listed_servers()},
                 "drained": self._callers.drained,
             }
             # The socket goes with the first byte; the line may be longer than one write takes.
@@ -266,14 +266,14 @@
         if self._callers.yielded and not self._callers.stopping:
             # Guards against a younger process that dies: this one serves on.
             note(logging.WARNING, "handover_undone")
-            self._callers.resume()
+            self._callers.resume_accepting()
             if self._path is not None:
                 self.listen(self._path)
 
     def _heard_from_younger(self, other: _Other, message: Message) -> None:
         match message["say"]:
             case "took":
-                self._callers.yield_()
+                self._callers.stop_accepting()
                 self._unlisten()
                 other.to_say.append({"say": "yielded"})
                 note(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
@@ -321,13 +321,13 @@
             crashed("handover_failed")
         self._elder = None
         other.channel.sock.close()
-        self._callers.held_elsewhere = 0
+        self._callers.previous_process_connections = 0
         self._exchange.open_elsewhere = set()
         self._accepts_here.set()
         note(logging.INFO, "elder_gone", inherited=len(self._inherited))
         # Guards against a release that a session server wrote to a connection which ended with the elder: it
         # sends it again on the next one that is opened.
-        self._servers.dial_all()
+        self._servers.dial_servers_with_calls()
 
     def _heard_from_elder(self, message: Message) -> None:
         match message["say"]:
@@ -342,7 +342,7 @@
             case "open":
                 self._exchange.open_elsewhere = set(message["calls"])
             case "held":
-                self._callers.held_elsewhere = message["connections"]
+                self._callers.previous_process_connections = message["connections"]
             case "release":
                 self._callers.release(message["call"], message["cause"], None)
             case "yielded":
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -27,7 +27,7 @@
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
 from pearloom.records import Fields, RecordError, parse
-from pearloom.servers.directory import IAX2, SIP, Directory, Maker
+from pearloom.servers.directory import IAX2, SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
 
 if TYPE_CHECKING:
@@ -84,14 +84,14 @@
         counters: Counters,
         callers: Callers,
         servers: Directory,
-        makers: dict[str, Maker],
+        makers: dict[str, TrunkFactory],
     ) -> CallerSide:
         """Add the trunks and the listener; returns all callers' sides as one."""
         first = 1 + secrets.randbelow(0x7000)  # legs of a process before this one have other numbers
         makers[IAX2] = lambda side, server: IaxTrunk(
             side, server, self.iax2.server_secrets.get(server.entry.server, ""), first
         )
-        servers.speaks = lambda server: IAX2 if self.iax2.speaks(server) else SIP
+        servers.protocol_of = lambda server: IAX2 if self.iax2.speaks(server) else SIP
         self._servers, self._exchange, self._counters = servers, exchange, counters
         if self.iax2.listen is None:
             return callers
@@ -101,8 +101,8 @@
             counters,
             self.iax2,
             OfferRules(self._config),
-            lambda: callers.takes_work,
-            lambda: callers.refuses,
+            lambda: callers.is_in_service,
+            lambda: callers.is_refusing,
         )
         return Fronts(callers, self.front, counters)
 
