--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -19,7 +19,7 @@
 
 from pearloom.admin.management import Answer, Ask, Routes
 from pearloom.admin.writing import away, bad, conflict, write
-from pearloom.coordination import Attempt, Link, Outcome
+from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
 from pearloom.rollout.evidence import Evidence, delays_of
@@ -162,7 +162,7 @@
             return conflict("a rollout needs two live softswitches at least: ask for it at_once instead")
         stay = self._settings.stay if told.stay is None else told.stay
 
-        def attempt(there: HeadState, asked: Request, seen: int) -> Attempt:
+        def attempt(there: HeadState, asked: Request, seen: int) -> Transaction:
             begun = max(there.head.number, seen) + 1
             members = stages.members(zones, begun, wanted[0]) if wanted else ()
             terms = self._settings.terms
@@ -184,7 +184,7 @@
         )
 
     def _write(
-        self, attempt: Callable[[HeadState, Request, int], Attempt], reason: str, author: str
+        self, attempt: Callable[[HeadState, Request, int], Transaction], reason: str, author: str
     ) -> Answer:
         """Compute, try, and compute again where others wrote in between.
 
@@ -207,7 +207,7 @@
                 return Answer(HTTPStatus.ACCEPTED, text)
             return Answer(HTTPStatus.OK, "ok\n")
 
-        def step(there: HeadState) -> Attempt:
+        def step(there: HeadState) -> Transaction:
             seen = self._rules.seen.number if self._rules.seen is not None else 0
             return attempt(there, asked, seen)
 
--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -18,7 +18,7 @@
 
 from pearloom.admin.management import Answer, Ask, Routes
 from pearloom.admin.writing import away, bad, write
-from pearloom.coordination import Attempt, Outcome
+from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
 from pearloom.maintenance.records import FORMAT, Kind, MaintenanceError, Slot, Slots
@@ -104,7 +104,7 @@
     def _back(self, ask: Ask) -> Answer:
         return self._write(lambda slots: steps.come_back(slots, ask.rest).attempt)
 
-    def _write(self, attempt: Callable[[Slots], Attempt]) -> Answer:
+    def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
         def read() -> Slots | Answer:
             slots = self._host.slots
             return away() if slots is None or not self._host.fleet().fresh else slots
--- a/pearloom/admin/writing.py
+++ b/pearloom/admin/writing.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from pearloom.admin.management import Answer
-from pearloom.coordination import Attempt, Outcome
+from pearloom.coordination import Outcome, Transaction
 
 TRIES = 5  # at a store that others write to at the same time
 T = TypeVar("T")
@@ -15,8 +15,8 @@
 
 def write(
     read: Callable[[], T | Answer],
-    attempt: Callable[[T], Attempt],
-    do: Callable[[Attempt], Outcome],
+    attempt: Callable[[T], Transaction],
+    do: Callable[[Transaction], Outcome],
     read_again: Callable[[], None],
     settled: Callable[[Outcome], Answer],
     refusal: type[Exception],
--- a/pearloom/coordination/__init__.py
+++ b/pearloom/coordination/__init__.py
@@ -4,10 +4,19 @@
 """
 
 from pearloom.coordination.link import Link
-from pearloom.coordination.port import Attempt, Compare, Entry, Outcome, Snapshot, Store, StoreError, Write
+from pearloom.coordination.port import (
+    Compare,
+    Entry,
+    Outcome,
+    Snapshot,
+    Store,
+    StoreError,
+    Transaction,
+    Write,
+)
 from pearloom.coordination.settings import StoreSettings, read_store
 
 __all__ = [
-    "Attempt", "Compare", "Write", "Entry", "Link", "Outcome", "Snapshot", "Store", "StoreError",
+    "Transaction", "Compare", "Write", "Entry", "Link", "Outcome", "Snapshot", "Store", "StoreError",
     "StoreSettings", "read_store",
 ]  # fmt: skip
--- a/pearloom/coordination/etcd.py
+++ b/pearloom/coordination/etcd.py
@@ -20,11 +20,11 @@
 
 from pearloom.coordination.port import (
     MOST_VALUE_BYTES,
-    Attempt,
     Changes,
     Entry,
     Snapshot,
     StoreError,
+    Transaction,
 )
 from pearloom.coordination.settings import StoreSettings
 
@@ -94,7 +94,7 @@
 
         return self._call(write)
 
-    def attempt(self, attempt: Attempt, lease: int) -> bool:
+    def attempt(self, attempt: Transaction, lease: int) -> bool:
         """One transaction; False where a compare did not hold."""
         payload = {
             "compare": [
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -17,12 +17,12 @@
 
 from pearloom.coordination.pace import Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import (
-    Attempt,
     Changes,
     Outcome,
     Snapshot,
     Store,
     StoreError,
+    Transaction,
     applied,
     took_effect,
 )
@@ -200,7 +200,7 @@
         self._quietly(self._read)
 
     # --- steps ----------------------------------------------------------------------------------------------
-    def attempt(self, attempt: Attempt) -> Outcome:
+    def attempt(self, attempt: Transaction) -> Outcome:
         """Try one step. A lost reply is settled by reading back who won."""
         if not self.may_act() and any(write.lease for write in attempt.writes):
             return Outcome.LOST
@@ -212,7 +212,7 @@
             return self._read_back(attempt)
         return Outcome.WON if won else Outcome.LOST
 
-    def _read_back(self, attempt: Attempt) -> Outcome:
+    def _read_back(self, attempt: Transaction) -> Outcome:
         pause = Backoff(Random(0))
         for _ in range(READ_BACK_TRIES):
             try:
--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class Transaction:
     """One optimistic transaction; its marker tells later whether it took effect, where the reply was lost."""
 
     compares: tuple[Compare, ...]
@@ -109,7 +109,7 @@
     def read(self) -> Snapshot:
         """All keys below the prefix."""
 
-    def attempt(self, attempt: Attempt, lease: int) -> bool:
+    def attempt(self, attempt: Transaction, lease: int) -> bool:
         """Try it; False where a compare did not hold."""
 
     def grant(self, ttl_s: int) -> int:
@@ -143,7 +143,7 @@
     return Snapshot(changes.cluster, changes.revision, tuple(held[key] for key in sorted(held)))
 
 
-def took_effect(attempt: Attempt, before: Sequence[Compare], now: Snapshot) -> bool | None:
+def took_effect(attempt: Transaction, before: Sequence[Compare], now: Snapshot) -> bool | None:
     """Did an attempt whose reply was lost take effect? Read from what is there now.
 
     True: one of its values stands where it would have put it, under a newer revision than compared with.
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from pearloom.coordination.port import Attempt, Entry, Snapshot
+from pearloom.coordination.port import Entry, Snapshot, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.order import Fleet, Machine
 from pearloom.maintenance.records import FORMAT, Kind, Limits, Phase, Slot
@@ -18,7 +18,7 @@
 LOOK_MS = 250.0
 
 
-def apply(store: Snapshot, attempt: Attempt) -> Snapshot | None:
+def apply(store: Snapshot, attempt: Transaction) -> Snapshot | None:
     """The store after a transaction, or None where a compare does not hold."""
     held = {entry.key: entry for entry in store.entries}
     for compare in attempt.compares:
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination import Attempt, Link, Outcome, Snapshot
+from pearloom.coordination import Link, Outcome, Snapshot, Transaction
 from pearloom.coordination.pace import patience_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
@@ -108,7 +108,7 @@
         """Before an operator's step is computed again."""
         self._link.read_again()
 
-    def attempt(self, attempt: Attempt) -> Outcome:
+    def attempt(self, attempt: Transaction) -> Outcome:
         """An operator's own step."""
         return self._link.attempt(attempt)
 
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
 from pearloom.coordination.values import decoded
 
 TURNS, GATE, LIMITS = "turns/", "turns-gate", "turns-limits"
@@ -180,7 +180,7 @@
     return held.compare, Write(held.slot.key, encode(slot))
 
 
-def request(there: Slots, asked: list[Slot]) -> Attempt:
+def request(there: Slots, asked: list[Slot]) -> Transaction:
     """Put these into the queue, in this order; a TurnError says what is wrong with them.
 
     The gate gives each its number, so that two operators at two softswitches get one order."""
@@ -204,11 +204,11 @@
             raise MaintenanceError(f"a machine's name has 1 to {MOST_NAME} signs")
         compares.append(Compare(slot.key, 0))
         writes.append(Write(slot.key, encode(msgspec.structs.replace(slot, number=number))))
-    return Attempt(tuple(compares), tuple(writes))
+    return Transaction(tuple(compares), tuple(writes))
 
 
-def adopt(there: Slots, own: Limits) -> Attempt | None:
+def adopt(there: Slots, own: Limits) -> Transaction | None:
     """Put the own file's limits into the store, if they are of a higher edition than what is there."""
     if there.limits_mod and own.edition <= there.limits.edition or LIMITS in there.unreadable:
         return None
-    return Attempt((there.limits_compare,), (Write(LIMITS, encode(own)),))
+    return Transaction((there.limits_compare,), (Write(LIMITS, encode(own)),))
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Write
+from pearloom.coordination.port import Transaction, Write
 from pearloom.maintenance.order import Fleet, Machine, waits
 from pearloom.maintenance.records import GATE, Held, Kind, MaintenanceError, Phase, Slots, encode, moved
 
@@ -41,7 +41,7 @@
     machine: str
     to: Phase | None  # None: the record goes
     why: str
-    attempt: Attempt
+    attempt: Transaction
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
 def _step(held: Held, to: Phase, why: str, **changes: object) -> Step:
     compare, write = moved(held, phase=to, note=why, **changes)
-    return Step(held.slot.id, held.slot.machine, to, why, Attempt((compare,), (write,)))
+    return Step(held.slot.id, held.slot.machine, to, why, Transaction((compare,), (write,)))
 
 
 def _free(held: Held, slots: Slots, to: Phase, why: str, **changes: object) -> Step:
@@ -85,7 +85,7 @@
     Guards against a grant into room that a store has taken back by losing this very write."""
     compare, write = moved(held, phase=to, note=why, **changes)
     gate = msgspec.structs.replace(slots.gate, freed=slots.gate.freed + 1, last_slot=held.slot.id)
-    attempt = Attempt((compare, slots.gate_compare), (write, Write(GATE, encode(gate))))
+    attempt = Transaction((compare, slots.gate_compare), (write, Write(GATE, encode(gate))))
     return Step(held.slot.id, held.slot.machine, to, why, attempt)
 
 
@@ -97,7 +97,7 @@
     )
     compare, write = moved(held, phase=Phase.GRANTED, note="next", grant=machine.incarnation)
     # The gate is compared too: two that each see room for one more can't both take it. So are the limits.
-    attempt = Attempt(
+    attempt = Transaction(
         (compare, slots.gate_compare, slots.limits_compare),
         (write, Write(GATE, encode(gate))),
     )
@@ -133,7 +133,7 @@
             if since_ms > limits.settle_ms:
                 return _free(held, slots, Phase.DONE, "settled")
         case Phase.DONE if since_ms > KEEP_MS:
-            gone = Attempt((held.compare,), (Write(slot.key, None),))
+            gone = Transaction((held.compare,), (Write(slot.key, None),))
             return Step(slot.id, slot.machine, None, "forgotten", gone)
     return None
 
@@ -154,7 +154,7 @@
     held = _held(slots, slot)
     match held.slot.phase:
         case Phase.WAITING | Phase.DONE:
-            gone = Attempt((held.compare,), (Write(held.slot.key, None),))
+            gone = Transaction((held.compare,), (Write(held.slot.key, None),))
             return Step(slot, held.slot.machine, None, "cancelled", gone)
         case Phase.GRANTED | Phase.DRAINING:
             return _step(held, Phase.RETURNING, "cancelled")
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Entry, Snapshot, Write
+from pearloom.coordination.port import Compare, Entry, Snapshot, Transaction, Write
 from pearloom.coordination.values import decoded
 
 MEMBERS, ROSTER = "members/", "roster/"
@@ -152,7 +152,7 @@
     return Member(name, condition, facts.incarnation, facts.zone, facts, since)
 
 
-def join(snapshot: Snapshot, name: str, facts: MemberFacts) -> Attempt:
+def join(snapshot: Snapshot, name: str, facts: MemberFacts) -> Transaction:
     """Tell of oneself, at first and again: what was there of a former incarnation is written over.
 
     The compare is on what was read, so that of two processes under one name the later one sees the other."""
@@ -163,15 +163,15 @@
     if roster is None or roster.value != stays:
         compares.append(Compare(ROSTER + name, roster.mod if roster else 0))
         writes.append(Write(ROSTER + name, stays))
-    return Attempt(tuple(compares), tuple(writes))
+    return Transaction(tuple(compares), tuple(writes))
 
 
-def leave(snapshot: Snapshot, name: str) -> Attempt | None:
+def leave(snapshot: Snapshot, name: str) -> Transaction | None:
     """Leave for good: nobody misses it. None where nothing is there to be taken out."""
     keys = [entry for key in (MEMBERS + name, ROSTER + name) if (entry := snapshot.find(key)) is not None]
     if not keys:
         return None
-    return Attempt(
+    return Transaction(
         tuple(Compare(entry.key, entry.mod) for entry in keys),
         tuple(Write(entry.key, None) for entry in keys),
     )
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
 from pearloom.coordination.values import decoded
 
 CONFIRMED = "rules/at/"
@@ -49,13 +49,13 @@
     return found
 
 
-def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Attempt | None:
+def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Transaction | None:
     """Say it; None where it stands there already."""
     entry, value = snapshot.find(CONFIRMED + name), msgspec.json.encode(said)
     if entry is not None and entry.value == value:
         return None
     compare = Compare(CONFIRMED + name, entry.mod if entry is not None else 0)
-    return Attempt((compare,), (Write(CONFIRMED + name, value),))
+    return Transaction((compare,), (Write(CONFIRMED + name, value),))
 
 
 def followed(
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination import Attempt, Compare, Link, Outcome, Snapshot, Write
+from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
 from pearloom.coordination.pace import patience_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
@@ -143,7 +143,7 @@
         entry = snapshot.find(key)
         old = _outdated(snapshot, name, life, value.stage)
         writes = (Write(key, evidence.encode(value)), *(Write(gone, None) for gone in old))
-        outcome = self._link.attempt(Attempt((Compare(key, entry.mod if entry else 0),), writes))
+        outcome = self._link.attempt(Transaction((Compare(key, entry.mod if entry else 0),), writes))
         if outcome is Outcome.WON:
             self._told += 1
         elif outcome is Outcome.LOST:
--- a/pearloom/rollout/steps.py
+++ b/pearloom/rollout/steps.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from pearloom.coordination.port import Attempt
+from pearloom.coordination.port import Transaction
 from pearloom.rollout import stages
 from pearloom.rollout.confirm import Confirmation
 from pearloom.rollout.evidence import Evidence
@@ -52,7 +52,7 @@
 
     did: Operation
     why: str
-    attempt: Attempt
+    attempt: Transaction
 
 
 def next_step(there: HeadState, seen: Seen, asked: Request, number_seen: int) -> RolloutStep | None:
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -29,7 +29,7 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
 from pearloom.coordination.values import decoded
 from pearloom.rules.records import EMPTY, FORMAT, RulesError, RuleSet, canonical, read_rules, version_of
 
@@ -204,7 +204,7 @@
 # --- Steps --------------------------------------------------------------------------------------------------
 def _step(
     there: HeadState, head: Head, write: Operation, asked: Request, seen: int, put: Iterable[Write] = ()
-) -> Attempt:
+) -> Transaction:
     """The transaction to the next head. `seen`: the highest number that anyone is known to have seen."""
     number = max(there.head.number, seen) + 1
     head = msgspec.structs.replace(head, number=number, tag=asked.tag)
@@ -222,7 +222,7 @@
     written = {write.key for write in writes}
     writes += [Write(key, None) for key in _too_old(there, head, entry) if key not in written]
     # The value too: a head carries its tag, and a store that lost its last writes gives revisions again.
-    return Attempt((Compare(HEAD, there.mod, there.value),), tuple(writes))
+    return Transaction((Compare(HEAD, there.mod, there.value),), tuple(writes))
 
 
 def _too_old(there: HeadState, head: Head, entry: Entry) -> list[str]:
@@ -266,7 +266,7 @@
     terms: Terms,
     stay: bool = False,
     seen: int = 0,
-) -> Attempt:
+) -> Transaction:
     """Begin a rollout; without stages the version is set at once. A RulesError says why not."""
     _check_open(there, expected)
     _check_free(there)
@@ -288,7 +288,7 @@
     return rollout
 
 
-def widen(there: HeadState, members: tuple[str, ...], asked: Request, seen: int = 0) -> Attempt:
+def widen(there: HeadState, members: tuple[str, ...], asked: Request, seen: int = 0) -> Transaction:
     """The next stage: those of the stage before, and these."""
     rollout = _going(there)
     if rollout.last:
@@ -298,13 +298,13 @@
     return _step(there, msgspec.structs.replace(there.head, rollout=wider), Operation.WIDENED, asked, seen)
 
 
-def halt(there: HeadState, asked: Request, seen: int = 0) -> Attempt:
+def halt(there: HeadState, asked: Request, seen: int = 0) -> Transaction:
     """No wider; `asked.reason` is the one reason that is kept, with its figures."""
     halted = msgspec.structs.replace(_going(there), halted=asked.reason or "halted")
     return _step(there, msgspec.structs.replace(there.head, rollout=halted), Operation.HALTED, asked, seen)
 
 
-def complete(there: HeadState, asked: Request, seen: int = 0) -> Attempt:
+def complete(there: HeadState, asked: Request, seen: int = 0) -> Transaction:
     """The whole fleet goes by the new version."""
     rollout, head = _going(there), there.head
     if not rollout.last:
@@ -315,7 +315,7 @@
 
 def undo(
     there: HeadState, asked: Request, expected: int | None = None, to: str = "", seen: int = 0
-) -> Attempt:
+) -> Transaction:
     """Take the last edit back, or go to a named version; a rollout ends in either case."""
     _check_open(there, expected)
     head = there.head
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearloom.coordination import Attempt, Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Write
+from pearloom.coordination import Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Transaction, Write
 from pearloom.coordination.etcd import EtcdStore
 from pearloom.coordination.pace import MOST_MS, Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import Changes, applied, took_effect
@@ -34,8 +34,8 @@
         until(lambda: self.link.snapshot is not None and self.link.may_act())
         return self
 
-    def write(self, key: str, value: bytes) -> Attempt:
-        return Attempt((Compare(key, 0),), (Write(key, value),))
+    def write(self, key: str, value: bytes) -> Transaction:
+        return Transaction((Compare(key, 0),), (Write(key, value),))
 
 
 def until(holds: Callable[[], bool], most_s: float = 8.0) -> None:
@@ -88,7 +88,7 @@
     pair.gateway.faults.paused = True
     until(lambda: not link.may_act())
     assert pair.gateway.store.time_to_live(link.lease.number, pair.gateway._clock())[0] >= 0
-    assert link.attempt(Attempt((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
+    assert link.attempt(Transaction((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
     gevent.sleep(0.5)  # the lease ends at the store
     pair.gateway.faults.paused = False
     until(link.may_act)
@@ -166,7 +166,7 @@
     ],
 )
 def test_a_lost_reply_is_settled_from_what_is_there(now: Snapshot, told: bool | None) -> None:
-    attempt = Attempt((Compare("k", 5),), (Write("k", b"mine"),))
+    attempt = Transaction((Compare("k", 5),), (Write("k", b"mine"),))
     assert took_effect(attempt, attempt.compares, now) is told
 
 
--- a/tests/coordination/test_store.py
+++ b/tests/coordination/test_store.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from pearloom.coordination.etcd import EtcdStore
-from pearloom.coordination.port import Attempt, Changes, Compare, StoreError, Write
+from pearloom.coordination.port import Changes, Compare, StoreError, Transaction, Write
 from pearloom.coordination.settings import StoreSettings
 from pearloom.fakes.etcd import Compacted, Gateway, KeyValueStore
 
@@ -30,8 +30,8 @@
     return EtcdStore(StoreSettings((gateway.address,), timeout_ms=timeout_ms))
 
 
-def put(key: str, value: bytes, mod: int = 0, lease: bool = False) -> Attempt:
-    return Attempt((Compare(key, mod),), (Write(key, value, lease),))
+def put(key: str, value: bytes, mod: int = 0, lease: bool = False) -> Transaction:
+    return Transaction((Compare(key, mod),), (Write(key, value, lease),))
 
 
 def test_the_library_s_own_calls_pass_unchanged(gateway: Gateway) -> None:
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from pearloom.coordination.port import Attempt, Entry, Snapshot
+from pearloom.coordination.port import Entry, Snapshot, Transaction
 from pearloom.fakes.fleet.simulation import apply, roll
 from pearloom.maintenance import order, records, steps
 from pearloom.maintenance.order import Fleet, Machine
@@ -39,7 +39,7 @@
     awake: bool = True
     alive: bool = True  # its lease is
     read: Snapshot = field(default_factory=lambda: Snapshot(1, 0, ()))
-    trying: Attempt | None = None
+    trying: Transaction | None = None
     works: int = 0  # the revision of the grant on which it drains, 0: none
     works_life: int = 0
 
@@ -187,7 +187,7 @@
         def grant(held: records.Held, slots: records.Slots, fleet: Fleet) -> steps.Step:
             step = real_grant(held, slots, fleet)
             mine = tuple(one for one in step.attempt.compares if one.key == held.slot.key)
-            return replace(step, attempt=Attempt(mine, step.attempt.writes))
+            return replace(step, attempt=Transaction(mine, step.attempt.writes))
 
         monkeypatch.setattr(steps, "_grant", grant)
     elif seeded == "out":  # machines out on their turn are not counted
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -17,7 +17,7 @@
     run_state_machine_as_test,
 )
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
 from pearloom.core.ends import End
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
@@ -70,9 +70,9 @@
         self.calls: dict[int, int] = {}  # made in each stage, by its mark
         self.highest, self.halted = 0, set[int]()
 
-    def write(self, attempt: Attempt) -> bool:
+    def write(self, attempt: Transaction) -> bool:
         if self.blind:
-            attempt = Attempt((), attempt.writes)
+            attempt = Transaction((), attempt.writes)
         after = apply(self.store, attempt)
         if after is None:
             return False
@@ -114,7 +114,7 @@
         held = one.read.find(key)
         value = one.tally.evidence(one.life, one.told + 1, ZONES[name], 0, self.now)
         write = Write(key, evidence.encode(value))
-        if self.write(Attempt((Compare(key, held.mod if held else 0),), (write,))) and not lost:
+        if self.write(Transaction((Compare(key, held.mod if held else 0),), (write,))) and not lost:
             one.told += 1
             one.read = self.store
 
--- a/tests/rules/test_head.py
+++ b/tests/rules/test_head.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from pearloom.coordination.port import Attempt, Compare, Entry, Snapshot, took_effect
+from pearloom.coordination.port import Compare, Entry, Snapshot, Transaction, took_effect
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rules import head as steps
 from pearloom.rules.head import (
@@ -51,7 +51,7 @@
     def head(self) -> Head:
         return self.there.head
 
-    def do(self, attempt: Attempt) -> None:
+    def do(self, attempt: Transaction) -> None:
         after = apply(self.store, attempt)
         assert after is not None, "nobody else writes"
         self.store = after
@@ -203,7 +203,7 @@
     """One softswitch: what it last read, what it is about to try, what it obeys, whether it sleeps."""
 
     read: Snapshot
-    trying: Attempt | None = None
+    trying: Transaction | None = None
     obeyed: Head | None = None
     awake: bool = True
 
@@ -216,7 +216,7 @@
     edits: int
 
 
-def attempts(node: Node, world: World) -> Iterator[tuple[str, Attempt]]:
+def attempts(node: Node, world: World) -> Iterator[tuple[str, Transaction]]:
     there = read_there(node.read)
     rollout, number = there.head.rollout, there.head.number
     seen = node.obeyed.number if node.obeyed else 0
@@ -247,9 +247,9 @@
         if node.trying is not None:
             tried = node.trying
             if broken == "no compare":
-                tried = Attempt((), tried.writes)
+                tried = Transaction((), tried.writes)
             elif broken == "no value":
-                tried = Attempt(tuple(Compare(one.key, one.mod) for one in tried.compares), tried.writes)
+                tried = Transaction(tuple(Compare(one.key, one.mod) for one in tried.compares), tried.writes)
             after = apply(world.store, tried)
             done = replace(node, trying=None)
             yield (
