--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -211,7 +211,7 @@
             seen = self._rules.seen.number if self._rules.seen is not None else 0
             return attempt(there, asked, seen)
 
-        return write(read, step, self._link.attempt, self._link.read_again, settled, RulesError)
+        return write(read, step, self._link.commit, self._link.read_again, settled, RulesError)
 
 
 def _won(there: HeadState, tag: str) -> Answer | None:
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -200,7 +200,7 @@
         self._quietly(self._read)
 
     # --- steps ----------------------------------------------------------------------------------------------
-    def attempt(self, attempt: Transaction) -> Outcome:
+    def commit(self, attempt: Transaction) -> Outcome:
         """Try one step. A lost reply is settled by reading back who won."""
         if not self.may_act() and any(write.lease for write in attempt.writes):
             return Outcome.LOST
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -110,7 +110,7 @@
 
     def attempt(self, attempt: Transaction) -> Outcome:
         """An operator's own step."""
-        return self._link.attempt(attempt)
+        return self._link.commit(attempt)
 
     # --- the loop -------------------------------------------------------------------------------------------
     def _changed(self, snapshot: Snapshot) -> None:
@@ -152,7 +152,7 @@
             return
         adopted = records.adopt(slots, self._limits)
         if adopted is not None:
-            self._link.attempt(adopted)
+            self._link.commit(adopted)
             return
         idle = self._drains and self._hands.idle()
         own = Own(self._member.name, self._member.incarnation, idle, self._link.may_act())
@@ -172,7 +172,7 @@
 
     def _try(self, step: Step) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
-        outcome = self._link.attempt(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.attempt) if self._link.may_act() else Outcome.LOST
         self._tried.clear()
         self._counters.add(f"maintenance_steps_{outcome.value}")
         if outcome is Outcome.WON:
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -99,7 +99,7 @@
             note(logging.ERROR, "member_doubled", member=self.name, incarnation=self.incarnation)
             return True
         self._facts = next_facts(self._facts, *self._load())
-        outcome = self._link.attempt(join(snapshot, self.name, self._facts))
+        outcome = self._link.commit(join(snapshot, self.name, self._facts))
         if outcome is Outcome.LOST:
             # Guards against a picture of the own key that no change will ever mend: nobody else writes it.
             self._link.read_again()
@@ -112,10 +112,10 @@
         snapshot = self._link.snapshot
         if snapshot is not None and self._link.may_act():
             self._facts = next_facts(self._facts, {}, 0, leaving=True)
-            self._link.attempt(join(snapshot, self.name, self._facts))
+            self._link.commit(join(snapshot, self.name, self._facts))
 
     def remove(self, name: str) -> Outcome:
         """An operator takes a softswitch that is away out of the roster: nobody misses it any more."""
         snapshot = self._link.snapshot
         attempt = leave(snapshot, name) if snapshot is not None else None
-        return Outcome.LOST if attempt is None else self._link.attempt(attempt)
+        return Outcome.LOST if attempt is None else self._link.commit(attempt)
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -123,7 +123,7 @@
             self._why_left[: confirm.MOST_WHY],
         )  # fmt: skip
         attempt = confirm.confirm(snapshot, self._member.name, said) if snapshot is not None else None
-        if snapshot is None or (attempt is not None and self._link.attempt(attempt) is not Outcome.WON):
+        if snapshot is None or (attempt is not None and self._link.commit(attempt) is not Outcome.WON):
             self._link.read_again()
             self._confirms.set()
 
@@ -143,7 +143,7 @@
         entry = snapshot.find(key)
         old = _outdated(snapshot, name, life, value.stage)
         writes = (Write(key, evidence.encode(value)), *(Write(gone, None) for gone in old))
-        outcome = self._link.attempt(Transaction((Compare(key, entry.mod if entry else 0),), writes))
+        outcome = self._link.commit(Transaction((Compare(key, entry.mod if entry else 0),), writes))
         if outcome is Outcome.WON:
             self._told += 1
         elif outcome is Outcome.LOST:
@@ -190,7 +190,7 @@
 
     def _try(self, step: steps.RolloutStep) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
-        outcome = self._link.attempt(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.attempt) if self._link.may_act() else Outcome.LOST
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             halted = step.did is Operation.HALTED
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -78,9 +78,9 @@
 def test_a_winner_whose_reply_was_lost_learns_that_it_won(pair: Pair) -> None:
     link = pair.start().link
     pair.gateway.faults.lose_replies = 1
-    assert link.attempt(pair.write("turn", b"n1:7")) is Outcome.WON
+    assert link.commit(pair.write("turn", b"n1:7")) is Outcome.WON
     assert pair.counters.get("store_read_back") == 1
-    assert link.attempt(pair.write("turn", b"n1:8")) is Outcome.LOST
+    assert link.commit(pair.write("turn", b"n1:8")) is Outcome.LOST
 
 
 def test_a_link_stops_acting_before_its_lease_can_have_ended(pair: Pair) -> None:
@@ -88,7 +88,7 @@
     pair.gateway.faults.paused = True
     until(lambda: not link.may_act())
     assert pair.gateway.store.time_to_live(link.lease.number, pair.gateway._clock())[0] >= 0
-    assert link.attempt(Transaction((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
+    assert link.commit(Transaction((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
     gevent.sleep(0.5)  # the lease ends at the store
     pair.gateway.faults.paused = False
     until(link.may_act)
@@ -108,7 +108,7 @@
 def test_an_older_store_is_named_and_read_anew(pair: Pair) -> None:
     pair.gateway.store.save()
     link = pair.start().link
-    assert link.attempt(pair.write("late", b"1")) is Outcome.WON
+    assert link.commit(pair.write("late", b"1")) is Outcome.WON
     until(lambda: link.snapshot is not None and link.snapshot.find("late") is not None)
     pair.gateway.restart(without_last_writes=True)
     until(lambda: pair.counters.get("store_diverged") > 0)
