--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -109,7 +109,7 @@
             slots = self._host.slots
             return away() if slots is None or not self._host.fleet().fresh else slots
 
-        return write(read, attempt, self._host.attempt, self._host.read_again, _settled, MaintenanceError)
+        return write(read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError)
 
 
 def _settled(outcome: Outcome) -> Answer:
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -108,7 +108,7 @@
         """Before an operator's step is computed again."""
         self._link.read_again()
 
-    def attempt(self, attempt: Transaction) -> Outcome:
+    def commit(self, attempt: Transaction) -> Outcome:
         """An operator's own step."""
         return self._link.commit(attempt)
 
