--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -99,10 +99,10 @@
         return Answer(HTTPStatus.OK, "".join(f"turn={slot.id} machine={slot.machine}\n" for slot in asked))
 
     def _cancel(self, ask: Ask) -> Answer:
-        return self._write(lambda slots: steps.cancel(slots, ask.rest).attempt)
+        return self._write(lambda slots: steps.cancel(slots, ask.rest).transaction)
 
     def _back(self, ask: Ask) -> Answer:
-        return self._write(lambda slots: steps.come_back(slots, ask.rest).attempt)
+        return self._write(lambda slots: steps.come_back(slots, ask.rest).transaction)
 
     def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
         def read() -> Slots | Answer:
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -81,7 +81,7 @@
         if step is None:
             now += LOOK_MS
             continue
-        after = apply(store, step.attempt)
+        after = apply(store, step.transaction)
         assert after is not None, "nobody else writes"
         store, writes = after, writes + 1
     at_once = min(limits.out, limits.out_zone * zones)
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -172,7 +172,7 @@
 
     def _try(self, step: Step) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
-        outcome = self._link.commit(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.transaction) if self._link.may_act() else Outcome.LOST
         self._tried.clear()
         self._counters.add(f"maintenance_steps_{outcome.value}")
         if outcome is Outcome.WON:
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -41,7 +41,7 @@
     machine: str
     to: Phase | None  # None: the record goes
     why: str
-    attempt: Transaction
+    transaction: Transaction
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -101,7 +101,7 @@
                 for idle, waited in ((False, 0.0), (True, 0.0), (False, LATE_MS)):
                     step = decide(world, name, node, idle, waited)
                     if step is not None:
-                        yield f"{name} tries {step.to}", put(replace(node, trying=step.attempt))
+                        yield f"{name} tries {step.to}", put(replace(node, trying=step.transaction))
             else:
                 after = apply(world.store, node.trying)
                 done = replace(node, trying=None)
@@ -186,8 +186,8 @@
 
         def grant(held: records.Held, slots: records.Slots, fleet: Fleet) -> steps.Step:
             step = real_grant(held, slots, fleet)
-            mine = tuple(one for one in step.attempt.compares if one.key == held.slot.key)
-            return replace(step, attempt=Transaction(mine, step.attempt.writes))
+            mine = tuple(one for one in step.transaction.compares if one.key == held.slot.key)
+            return replace(step, transaction=Transaction(mine, step.transaction.writes))
 
         monkeypatch.setattr(steps, "_grant", grant)
     elif seeded == "out":  # machines out on their turn are not counted
@@ -237,15 +237,15 @@
         seen = Fleet((replace(machines[0], incarnation=born), machines[1]))
         step = on(store, seen, LATE_MS if to is Phase.OUT else 0.0)
         assert step.to is to
-        store = apply(store, step.attempt)
+        store = apply(store, step.transaction)
     assert store is not None
-    freed = apply(store, on(store, fleet, LATE_MS).attempt)  # done; and this write is lost
+    freed = apply(store, on(store, fleet, LATE_MS).transaction)  # done; and this write is lost
     assert freed is not None
     late = on(freed, fleet, 0.0)
     assert (late.to, late.machine) == (Phase.GRANTED, "n2")
     other = apply(store, records.request(reading(store), [replace_id(ask("n1", urgent=False))]))
     assert other is not None and other.revision == freed.revision
-    assert apply(other, late.attempt) is None
+    assert apply(other, late.transaction) is None
 
 
 def replace_id(slot: Slot) -> Slot:
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -173,7 +173,7 @@
 
 def test_a_turn_that_is_done_is_forgotten_after_a_while() -> None:
     step = stepped(slot(1, phase=Phase.DONE, grant=1), LIVE, KEEP_MS + 1)
-    assert step is not None and step.to is None and step.attempt.writes[0].value is None
+    assert step is not None and step.to is None and step.transaction.writes[0].value is None
 
 
 @pytest.mark.parametrize("phase", list(Phase))
