--- a/pearloom/coordination/values.py
+++ b/pearloom/coordination/values.py
@@ -21,7 +21,7 @@
 T = TypeVar("T", bound=Formatted)
 
 
-def decoded(value: bytes, kind: type[T], form: int) -> T | None:
+def decode_record(value: bytes, kind: type[T], form: int) -> T | None:
     """The value as this type and format, or None where it can't be read as that."""
     try:
         found: T = msgspec.json.decode(value, type=kind)
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.values import decode_record
 
 TURNS, GATE, LIMITS = "turns/", "turns-gate", "turns-limits"
 FORMAT = 1
@@ -148,14 +148,14 @@
     """Read all; what can't be read is named, and no turn is granted while there is any of it."""
     slots, unreadable = [], []
     for entry in snapshot.below(TURNS):
-        slot = decoded(entry.value, Slot, FORMAT)
+        slot = decode_record(entry.value, Slot, FORMAT)
         if slot is None or slot.key != entry.key:
             unreadable.append(entry.key)
         else:
             slots.append(Held(slot, entry.mod, entry.value))
     gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS)
-    gate = decoded(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
-    limits = decoded(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
+    gate = decode_record(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
+    limits = decode_record(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
     unreadable += [key for key, found in ((GATE, gate), (LIMITS, limits)) if found is None]
     return Slots(
         tuple(slots),
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pearloom.coordination.port import Compare, Entry, Snapshot, Transaction, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.values import decode_record
 
 MEMBERS, ROSTER = "members/", "roster/"
 MOST_GATES = 512  # that one member tells of
@@ -98,7 +98,7 @@
 
 def decode_facts(value: bytes) -> MemberFacts | None:
     """A member's value, or None where it can't be read."""
-    facts = decoded(value, MemberFacts, FORMAT)
+    facts = decode_record(value, MemberFacts, FORMAT)
     sound = (
         facts is not None
         and facts.beat >= 0
@@ -111,7 +111,7 @@
 
 def decode_roster(value: bytes) -> RosterEntry | None:
     """A roster's value, or None where it can't be read."""
-    return decoded(value, RosterEntry, FORMAT)
+    return decode_record(value, RosterEntry, FORMAT)
 
 
 def look(snapshot: Snapshot, before: View, now_ms: float, beat_ms: float) -> View:
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.values import decode_record
 
 CONFIRMED = "rules/at/"
 FORMAT = 1
@@ -43,7 +43,7 @@
     """By softswitch; what can't be read is not there."""
     found: dict[str, Confirmation] = {}
     for entry in snapshot.below(CONFIRMED):
-        one = decoded(entry.value, Confirmation, FORMAT)
+        one = decode_record(entry.value, Confirmation, FORMAT)
         if one is not None and len(one.why) <= MOST_WHY:
             found[entry.key.removeprefix(CONFIRMED)] = one
     return found
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -18,7 +18,7 @@
 from hdrh.histogram import HdrHistogram
 
 from pearloom.coordination.port import Snapshot
-from pearloom.coordination.values import decoded
+from pearloom.coordination.values import decode_record
 from pearloom.core.ends import End
 
 EVIDENCE = "evidence/"
@@ -148,7 +148,7 @@
 
 def decode(value: bytes) -> Evidence | None:
     """A told value, or None where it can't be read or can't be true."""
-    found = decoded(value, Evidence, FORMAT)
+    found = decode_record(value, Evidence, FORMAT)
     if found is None:
         return None
     rows = [
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.values import decode_record
 from pearloom.rules.records import EMPTY, FORMAT, RulesError, RuleSet, canonical, read_rules, version_of
 
 HEAD, LOG, VERSIONS = "rules/head", "rules/log/", "rules/versions/"
@@ -155,14 +155,14 @@
     unreadable: list[str] = []
     entry, head = snapshot.find(HEAD), Head()
     if entry is not None:
-        found = decoded(entry.value, Head, FORMAT)
+        found = decode_record(entry.value, Head, FORMAT)
         if found is None or not _sound(found):
             unreadable.append(HEAD)
         else:
             head = found
     log: list[Entry] = []
     for one in snapshot.below(LOG):
-        step = decoded(one.value, Entry, FORMAT)
+        step = decode_record(one.value, Entry, FORMAT)
         if step is None or one.key != _log_key(step.number):
             unreadable.append(one.key)
         else:
