--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -48,7 +48,7 @@
         """The entry of this key, if it is there."""
         return next((entry for entry in self.entries if entry.key == key), None)
 
-    def below(self, prefix: str) -> tuple[Entry, ...]:
+    def with_prefix(self, prefix: str) -> tuple[Entry, ...]:
         """The entries whose keys begin so, by key."""
         return tuple(entry for entry in self.entries if entry.key.startswith(prefix))
 
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -147,7 +147,7 @@
 def read_slots(snapshot: Snapshot) -> Slots:
     """Read all; what can't be read is named, and no turn is granted while there is any of it."""
     slots, unreadable = [], []
-    for entry in snapshot.below(TURNS):
+    for entry in snapshot.with_prefix(TURNS):
         slot = decode_record(entry.value, Slot, FORMAT)
         if slot is None or slot.key != entry.key:
             unreadable.append(entry.key)
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -116,8 +116,8 @@
 
 def look(snapshot: Snapshot, before: View, now_ms: float, beat_ms: float) -> View:
     """The view that follows from the store as it is and from when the own clock saw what change."""
-    told = {entry.key.removeprefix(MEMBERS): entry for entry in snapshot.below(MEMBERS)}
-    roster = {entry.key.removeprefix(ROSTER): entry for entry in snapshot.below(ROSTER)}
+    told = {entry.key.removeprefix(MEMBERS): entry for entry in snapshot.with_prefix(MEMBERS)}
+    roster = {entry.key.removeprefix(ROSTER): entry for entry in snapshot.with_prefix(ROSTER)}
     members = tuple(
         _member(name, told.get(name), roster.get(name), before.find(name), now_ms, beat_ms)
         for name in sorted({*told, *roster})
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -42,7 +42,7 @@
 def confirmations(snapshot: Snapshot) -> dict[str, Confirmation]:
     """By softswitch; what can't be read is not there."""
     found: dict[str, Confirmation] = {}
-    for entry in snapshot.below(CONFIRMED):
+    for entry in snapshot.with_prefix(CONFIRMED):
         one = decode_record(entry.value, Confirmation, FORMAT)
         if one is not None and len(one.why) <= MOST_WHY:
             found[entry.key.removeprefix(CONFIRMED)] = one
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -168,7 +168,7 @@
     """What was told for this stage, by softswitch and incarnation; and the keys that can't be read."""
     found: dict[tuple[str, int], Evidence] = {}
     unreadable: list[str] = []
-    for entry in snapshot.below(EVIDENCE):
+    for entry in snapshot.with_prefix(EVIDENCE):
         name, _, incarnation = entry.key.removeprefix(EVIDENCE).rpartition("/")
         one = decode(entry.value)
         if one is None or entry.key != key_of(name, one.incarnation):
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -267,7 +267,7 @@
 
 def _outdated(snapshot: Snapshot, name: str, life: int, stage: int) -> list[str]:
     """Own keys of former lives that no stage will read again, and the oldest where there are too many."""
-    mine = snapshot.below(f"{evidence.EVIDENCE}{name}/")
+    mine = snapshot.with_prefix(f"{evidence.EVIDENCE}{name}/")
     former = [entry for entry in mine if entry.key != evidence.key_of(name, life)]
     kept = [
         entry for entry in former
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -161,13 +161,13 @@
         else:
             head = found
     log: list[Entry] = []
-    for one in snapshot.below(LOG):
+    for one in snapshot.with_prefix(LOG):
         step = decode_record(one.value, Entry, FORMAT)
         if step is None or one.key != _log_key(step.number):
             unreadable.append(one.key)
         else:
             log.append(step)
-    versions = tuple(one.key.removeprefix(VERSIONS) for one in snapshot.below(VERSIONS))
+    versions = tuple(one.key.removeprefix(VERSIONS) for one in snapshot.with_prefix(VERSIONS))
     beyond = tuple(_log_key(one.number) for one in log if one.number > head.number)
     mod, value = (entry.mod, entry.value) if entry else (0, None)
     return HeadState(head, mod, value, tuple(log), tuple(unreadable), versions, beyond)
--- a/tests/rules/test_head.py
+++ b/tests/rules/test_head.py
@@ -148,8 +148,8 @@
 def test_log_and_versions_stay_bounded_and_what_the_head_names_is_kept(fleet: Fleet) -> None:
     for at in range(3 * KEPT):
         fleet.set(f"r{at}")
-    assert len(fleet.store.below(steps.LOG)) <= KEPT + 1
-    assert len(fleet.store.below(steps.VERSIONS)) <= KEPT + 3
+    assert len(fleet.store.with_prefix(steps.LOG)) <= KEPT + 1
+    assert len(fleet.store.with_prefix(steps.VERSIONS)) <= KEPT + 3
     assert rules_of(fleet.store, fleet.head.version) and rules_of(fleet.store, fleet.head.before)
 
 
