--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -29,7 +29,7 @@
 
     key: str
     value: bytes
-    create: int
+    create_revision: int
     mod: int
     lease: int = 0
 
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -31,7 +31,9 @@
     for write in attempt.writes:
         old = held.pop(write.key, None)
         if write.value is not None:
-            held[write.key] = Entry(write.key, write.value, old.create if old else revision, revision)
+            held[write.key] = Entry(
+                write.key, write.value, old.create_revision if old else revision, revision
+            )
     return Snapshot(store.cluster, revision, tuple(held[key] for key in sorted(held)))
 
 
