--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -30,7 +30,7 @@
     key: str
     value: bytes
     create_revision: int
-    mod: int
+    mod_revision: int
     lease: int = 0
 
 
@@ -135,7 +135,7 @@
     held = {entry.key: entry for entry in snapshot.entries}
     for entry in changes.put:
         # What is not newer than the snapshot is in it already, or was deleted since.
-        if entry.mod > snapshot.revision:
+        if entry.mod_revision > snapshot.revision:
             held[entry.key] = entry
     for key, mod in changes.deleted:
         if mod > snapshot.revision:
@@ -156,9 +156,13 @@
     compared = {compare.key: compare.mod for compare in before}
     for write in put:
         entry = now.find(write.key)
-        if entry is not None and entry.value == write.value and entry.mod > compared.get(write.key, 0):
+        if (
+            entry is not None
+            and entry.value == write.value
+            and entry.mod_revision > compared.get(write.key, 0)
+        ):
             return True
     untouched = all(
-        (entry.mod if (entry := now.find(compare.key)) else 0) == compare.mod for compare in before
+        (entry.mod_revision if (entry := now.find(compare.key)) else 0) == compare.mod for compare in before
     )
     return False if untouched else None
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -152,7 +152,7 @@
         if slot is None or slot.key != entry.key:
             unreadable.append(entry.key)
         else:
-            slots.append(Held(slot, entry.mod, entry.value))
+            slots.append(Held(slot, entry.mod_revision, entry.value))
     gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS)
     gate = decode_record(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
     limits = decode_record(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
@@ -160,9 +160,9 @@
     return Slots(
         tuple(slots),
         gate or Gate(),
-        gate_entry.mod if gate_entry else 0,
+        gate_entry.mod_revision if gate_entry else 0,
         limits or Limits(out=0),
-        limits_entry.mod if limits_entry else 0,
+        limits_entry.mod_revision if limits_entry else 0,
         gate_entry.value if gate_entry else None,
         limits_entry.value if limits_entry else None,
         tuple(unreadable),
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -159,9 +159,9 @@
     member, roster = snapshot.find(MEMBERS + name), snapshot.find(ROSTER + name)
     stays = msgspec.json.encode(RosterEntry(FORMAT, facts.incarnation, facts.zone))
     writes = [Write(MEMBERS + name, msgspec.json.encode(facts), lease=True)]
-    compares = [Compare(MEMBERS + name, member.mod if member else 0)]
+    compares = [Compare(MEMBERS + name, member.mod_revision if member else 0)]
     if roster is None or roster.value != stays:
-        compares.append(Compare(ROSTER + name, roster.mod if roster else 0))
+        compares.append(Compare(ROSTER + name, roster.mod_revision if roster else 0))
         writes.append(Write(ROSTER + name, stays))
     return Transaction(tuple(compares), tuple(writes))
 
@@ -172,7 +172,7 @@
     if not keys:
         return None
     return Transaction(
-        tuple(Compare(entry.key, entry.mod) for entry in keys),
+        tuple(Compare(entry.key, entry.mod_revision) for entry in keys),
         tuple(Write(entry.key, None) for entry in keys),
     )
 
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -54,7 +54,7 @@
     entry, value = snapshot.find(CONFIRMED + name), msgspec.json.encode(said)
     if entry is not None and entry.value == value:
         return None
-    compare = Compare(CONFIRMED + name, entry.mod if entry is not None else 0)
+    compare = Compare(CONFIRMED + name, entry.mod_revision if entry is not None else 0)
     return Transaction((compare,), (Write(CONFIRMED + name, value),))
 
 
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -143,7 +143,7 @@
         entry = snapshot.find(key)
         old = _outdated(snapshot, name, life, value.stage)
         writes = (Write(key, evidence.encode(value)), *(Write(gone, None) for gone in old))
-        outcome = self._link.commit(Transaction((Compare(key, entry.mod if entry else 0),), writes))
+        outcome = self._link.commit(Transaction((Compare(key, entry.mod_revision if entry else 0),), writes))
         if outcome is Outcome.WON:
             self._told += 1
         elif outcome is Outcome.LOST:
@@ -274,4 +274,6 @@
         if (one := evidence.decode(entry.value)) is not None and one.stage == stage
     ]  # fmt: skip
     gone = [entry.key for entry in former if entry not in kept]
-    return (gone + [entry.key for entry in sorted(kept, key=lambda one: one.mod)[: -evidence.KEPT_LIVES]])[:8]
+    return (
+        gone + [entry.key for entry in sorted(kept, key=lambda one: one.mod_revision)[: -evidence.KEPT_LIVES]]
+    )[:8]
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -169,7 +169,7 @@
             log.append(step)
     versions = tuple(one.key.removeprefix(VERSIONS) for one in snapshot.with_prefix(VERSIONS))
     beyond = tuple(_log_key(one.number) for one in log if one.number > head.number)
-    mod, value = (entry.mod, entry.value) if entry else (0, None)
+    mod, value = (entry.mod_revision, entry.value) if entry else (0, None)
     return HeadState(head, mod, value, tuple(log), tuple(unreadable), versions, beyond)
 
 
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -110,7 +110,7 @@
         if entry is None and self.seen is None:
             self.diverged = ""  # there is nothing to obey, as before any edit
             return
-        mod = entry.mod if entry is not None else 0
+        mod = entry.mod_revision if entry is not None else 0
         if mod == self._mod and not self.diverged:
             return  # something else changed: heads are read as they come, not with each count told
         self._mod = mod
--- a/tests/coordination/test_store.py
+++ b/tests/coordination/test_store.py
@@ -61,7 +61,7 @@
     assert not store.attempt(put("head", b"2"), 0), "the key is there by now"
     assert store.read() == first
     entry = first.find("head")
-    assert entry is not None and store.attempt(put("head", b"2", entry.mod), 0)
+    assert entry is not None and store.attempt(put("head", b"2", entry.mod_revision), 0)
 
 
 def test_a_lease_takes_its_keys_along_and_says_so_to_watches(gateway: Gateway) -> None:
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -114,7 +114,7 @@
         held = one.read.find(key)
         value = one.tally.evidence(one.life, one.told + 1, ZONES[name], 0, self.now)
         write = Write(key, evidence.encode(value))
-        if self.write(Transaction((Compare(key, held.mod if held else 0),), (write,))) and not lost:
+        if self.write(Transaction((Compare(key, held.mod_revision if held else 0),), (write,))) and not lost:
             one.told += 1
             one.read = self.store
 
