--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -21,8 +21,8 @@
 )
 
 FLEET_GUARDS = (
-    Guard("a lease counts from its asking, less drift", "coordination/pace.py", "asked_ms + self.ttl_ms * (1.0 - DRIFT)", "asked_ms + self.ttl_ms * 9.0", (LINK,)),
-    Guard("pauses are drawn", "coordination/pace.py", "return pause * (0.1 + 0.9 * self._random.random())", "return pause * 2", (LINK,)),
+    Guard("a lease counts from its asking, less drift", "coordination/timing.py", "asked_ms + self.ttl_ms * (1.0 - DRIFT)", "asked_ms + self.ttl_ms * 9.0", (LINK,)),
+    Guard("pauses are drawn", "coordination/timing.py", "return pause * (0.1 + 0.9 * self._random.random())", "return pause * 2", (LINK,)),
     Guard("changes follow what was read", "coordination/port.py", "changes.cluster != snapshot.cluster or changes.revision < snapshot.revision", "False", (LINK,)),
     Guard("an older value is no win", "coordination/port.py", "entry.mod_revision > compared.get(write.key, 0)", "True", (LINK,)),
     Guard("nothing is tried on an ended lease", "coordination/link.py", "if not self.may_act() and any(", "if False and any(", (LINK,)),
--- a/benchmarks/store_load.py
+++ b/benchmarks/store_load.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from pearloom.coordination.pace import OwnLease
+from pearloom.coordination.timing import OwnLease
 from pearloom.fakes.fleet import Rig
 from pearloom.membership.view import paced_ms
 from pearloom.rollout.stages import tell_ms
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -1,7 +1,7 @@
 """One softswitch's link to the store: keeps what is there at hand, its own lease alive, and tries steps.
 
 Greenlets of its own ask the store; whoever needs something reads `snapshot`, which is as it was last heard.
-What to do when is decided in `pace.py` and `port.py`; this file only waits and calls.
+What to do when is decided in `timing.py` and `port.py`; this file only waits and calls.
 """
 
 from __future__ import annotations
@@ -15,7 +15,6 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination.pace import Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import (
     Changes,
     Outcome,
@@ -27,6 +26,7 @@
     took_effect,
 )
 from pearloom.coordination.settings import StoreSettings
+from pearloom.coordination.timing import Backoff, Freshness, Hold, OwnLease
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
 
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -14,7 +14,7 @@
 from gevent.event import Event
 
 from pearloom.coordination import Link, Outcome, Snapshot, Transaction
-from pearloom.coordination.pace import patience_ms
+from pearloom.coordination.timing import patience_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -15,7 +15,7 @@
 from gevent.event import Event
 
 from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
-from pearloom.coordination.pace import patience_ms, rank
+from pearloom.coordination.timing import patience_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
 from pearloom.core.logs import crashed, note
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -12,8 +12,8 @@
 
 from pearloom.coordination import Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Transaction, Write
 from pearloom.coordination.etcd import EtcdStore
-from pearloom.coordination.pace import MOST_MS, Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import Changes, applied, took_effect
+from pearloom.coordination.timing import MOST_MS, Backoff, Freshness, Hold, OwnLease
 from pearloom.core.counters import Counters
 from pearloom.fakes.etcd import Gateway
 
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearloom.coordination import pace
+from pearloom.coordination import timing
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.order import Fleet, Machine, Wait, queue, waits
@@ -221,7 +221,7 @@
 @given(st.integers(1, 40), st.text("0123456789abcdef", min_size=8, max_size=8))
 def test_softswitches_try_a_step_one_after_another(count: int, name: str) -> None:
     acting = [f"n{at}" for at in range(count)]
-    waits_ms = sorted(pace.patience_ms(name, one, acting) for one in acting)
-    assert waits_ms[0] == 0.0 and waits_ms[-1] <= pace.PATIENCE_MOST_MS
+    waits_ms = sorted(timing.patience_ms(name, one, acting) for one in acting)
+    assert waits_ms[0] == 0.0 and waits_ms[-1] <= timing.PATIENCE_MOST_MS
     assert len(set(waits_ms)) == min(count, 15), "in steps, up to the longest"
-    assert pace.patience_ms(name, "stranger", acting) == pace.PATIENCE_MOST_MS
+    assert timing.patience_ms(name, "stranger", acting) == pace.PATIENCE_MOST_MS
