--- a/pearloom/coordination/etcd.py
+++ b/pearloom/coordination/etcd.py
@@ -98,7 +98,12 @@
         """One transaction; False where a compare did not hold."""
         payload = {
             "compare": [
-                {"key": self._key(one.key), "target": "MOD", "result": "EQUAL", "mod_revision": str(one.mod)}
+                {
+                    "key": self._key(one.key),
+                    "target": "MOD",
+                    "result": "EQUAL",
+                    "mod_revision": str(one.mod_revision),
+                }
                 for one in attempt.compares
             ]
             + [
--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -61,7 +61,7 @@
     other writes. A value that carries a tag of its own is told from whatever else got its revision."""
 
     key: str
-    mod: int
+    mod_revision: int
     value: bytes | None = None
 
 
@@ -153,7 +153,7 @@
     if not put:
         gone = all(now.find(write.key) is None for write in attempt.writes)
         return True if gone else None
-    compared = {compare.key: compare.mod for compare in before}
+    compared = {compare.key: compare.mod_revision for compare in before}
     for write in put:
         entry = now.find(write.key)
         if (
@@ -163,6 +163,7 @@
         ):
             return True
     untouched = all(
-        (entry.mod_revision if (entry := now.find(compare.key)) else 0) == compare.mod for compare in before
+        (entry.mod_revision if (entry := now.find(compare.key)) else 0) == compare.mod_revision
+        for compare in before
     )
     return False if untouched else None
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -23,7 +23,7 @@
     held = {entry.key: entry for entry in store.entries}
     for compare in attempt.compares:
         found = held.get(compare.key)
-        if (found.mod_revision if found else 0) != compare.mod:
+        if (found.mod_revision if found else 0) != compare.mod_revision:
             return None
         if compare.value is not None and (found is None or found.value != compare.value):
             return None
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -77,9 +77,14 @@
 def test_joining_compares_with_what_was_read_and_leaving_takes_both_keys_out() -> None:
     mine = MemberFacts(1, 2, "a", 7)
     first = join(snapshot(), "n1", mine)
-    assert [(one.key, one.mod) for one in first.compares] == [(MEMBERS + "n1", 0), (ROSTER + "n1", 0)]
+    assert [(one.key, one.mod_revision) for one in first.compares] == [
+        (MEMBERS + "n1", 0),
+        (ROSTER + "n1", 0),
+    ]
     again = join(snapshot((MEMBERS + "n1", facts()), roster(2)), "n1", mine)
-    assert [(one.key, one.mod) for one in again.compares] == [(MEMBERS + "n1", 5)], "the roster is as it was"
+    assert [(one.key, one.mod_revision) for one in again.compares] == [
+        (MEMBERS + "n1", 5)
+    ], "the roster is as it was"
     assert again.writes[0].lease
     gone = leave(told(facts()), "n1")
     assert gone is not None and {write.value for write in gone.writes} == {None}
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -74,7 +74,7 @@
     assert (step.did if step else None) is did
     if step is not None:
         assert why in step.why
-        assert step.attempt.compares[0].mod == 9, "compares with the head that it was computed from"
+        assert step.attempt.compares[0].mod_revision == 9, "compares with the head that it was computed from"
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
 def test_what_is_said_already_is_not_written_again_and_what_is_spoilt_counts_as_nothing() -> None:
     said = Confirmation(1, 7, 5, OLD)
     first = confirm.confirm(Snapshot(1, 1, ()), "n1", said)
-    assert first is not None and first.compares[0].mod == 0
+    assert first is not None and first.compares[0].mod_revision == 0
     entry = Entry("rules/at/n1", first.writes[0].value or b"", 2, 2)
     spoilt = Entry("rules/at/n2", b'{"format": 1}', 2, 2)
     there = Snapshot(1, 2, (entry, spoilt))
--- a/tests/rules/test_head.py
+++ b/tests/rules/test_head.py
@@ -249,7 +249,9 @@
             if broken == "no compare":
                 tried = Transaction((), tried.writes)
             elif broken == "no value":
-                tried = Transaction(tuple(Compare(one.key, one.mod) for one in tried.compares), tried.writes)
+                tried = Transaction(
+                    tuple(Compare(one.key, one.mod_revision) for one in tried.compares), tried.writes
+                )
             after = apply(world.store, tried)
             done = replace(node, trying=None)
             yield (
