--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -65,7 +65,10 @@
     most_out, least, writes = 0, machines, 1
     while True:
         slots = records.read_slots(store)
-        seen = {(one.slot.id, one.mod): seen.get((one.slot.id, one.mod), now) for one in slots.slots}
+        seen = {
+            (one.slot.id, one.mod_revision): seen.get((one.slot.id, one.mod_revision), now)
+            for one in slots.slots
+        }
         out = {held.slot.machine for held in slots.slots if held.slot.is_out}
         most_out, least = max(most_out, len(out)), min(least, machines - len(out))
         if all(held.slot.phase is Phase.DONE for held in slots.slots):
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -115,7 +115,7 @@
     # --- the loop -------------------------------------------------------------------------------------------
     def _changed(self, snapshot: Snapshot) -> None:
         slots, now = records.read_slots(snapshot), self._now_ms()
-        there = {(held.slot.id, held.mod) for held in slots.slots}
+        there = {(held.slot.id, held.mod_revision) for held in slots.slots}
         self._seen_ms = {key: self._seen_ms.get(key, now) for key in there}
         self._follow(slots)
         self._wake.set()
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -107,13 +107,13 @@
     """A turn as it is in the store, and the revision and value that the next step compares with."""
 
     slot: Slot
-    mod: int
+    mod_revision: int
     value: bytes
 
     @property
     def compare(self) -> Compare:
         """It is still what was read."""
-        return Compare(self.slot.key, self.mod, self.value)
+        return Compare(self.slot.key, self.mod_revision, self.value)
 
 
 @dataclass(frozen=True, slots=True)
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -64,7 +64,7 @@
         return None
     machines = {(one.kind, one.name): one for one in fleet.machines}
     for held in slots.slots:
-        since = now_ms - seen_ms.get((held.slot.id, held.mod), now_ms)
+        since = now_ms - seen_ms.get((held.slot.id, held.mod_revision), now_ms)
         machine = machines.get((held.slot.kind, held.slot.machine))
         if (step := _onward(held, machine, own, slots, since)) is not None:
             return step
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -127,7 +127,7 @@
 
 def decide(world: World, name: str, node: Node, idle: bool, waited: float) -> steps.Step | None:
     slots = reading(node.read)
-    seen = {(held.slot.id, held.mod): -waited for held in slots.slots}
+    seen = {(held.slot.id, held.mod_revision): -waited for held in slots.slots}
     return steps.next_step(slots, fleet_of(world), Own(name, node.life, idle, node.alive), seen, 0.0)
 
 
@@ -135,7 +135,7 @@
     """What the host does: it drains while its own turn, granted to this life, says so."""
     for held in reading(node.read).slots:
         if held.slot.grant == node.life and held.slot.phase in (Phase.DRAINING, Phase.OUT):
-            return held.mod, held.slot.grant
+            return held.mod_revision, held.slot.grant
     return 0, 0
 
 
@@ -226,7 +226,7 @@
     store = apply(store, records.request(reading(store), [ask(name, urgent=False) for name in NAMES]))
 
     def on(there: Snapshot, fleet: Fleet, waited: float) -> steps.Step:
-        seen = {(held.slot.id, held.mod): -waited for held in reading(there).slots}
+        seen = {(held.slot.id, held.mod_revision): -waited for held in reading(there).slots}
         step = steps.next_step(reading(there), fleet, own, seen, 0.0)
         assert step is not None
         return step
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -121,7 +121,7 @@
     fleet = Fleet((there,) if there is not None else ())
     own = own or Own("n9", 1)
     return steps.next_step(
-        slots(held, limits=limits), fleet, own, {(held.slot.id, held.mod): -waited_ms}, 0.0
+        slots(held, limits=limits), fleet, own, {(held.slot.id, held.mod_revision): -waited_ms}, 0.0
     )
 
 
@@ -215,7 +215,7 @@
     held = [slot(at, zone=zone, urgent=urgent) for at, (urgent, zone) in enumerate(asked)]
     there, back = slots(*held, last_zone=last), slots(*reversed(held), last_zone=last)
     assert queue(there) == queue(back)
-    assert sorted(one.mod for one in queue(there)) == sorted(one.mod for one in held)
+    assert sorted(one.mod_revision for one in queue(there)) == sorted(one.mod_revision for one in held)
 
 
 @given(st.integers(1, 40), st.text("0123456789abcdef", min_size=8, max_size=8))
