--- a/benchmarks/store_load.py
+++ b/benchmarks/store_load.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from pearloom.coordination.timing import OwnLease
+from pearloom.coordination.timing import LocalLease
 from pearloom.fakes.fleet import Rig
 from pearloom.membership.view import paced_ms
 from pearloom.rollout.stages import tell_ms
@@ -31,7 +31,7 @@
             due = random.uniform(0.0, period)
             while due < 1_000.0 * SECONDS:
                 writes, due = writes + 1, due + period
-        lease = OwnLease(lease_ms)
+        lease = LocalLease(lease_ms)
         lease.granted(1, random.uniform(-lease_ms / 3.0, 0.0))
         while lease.renew_at_ms < 1_000.0 * SECONDS:
             lease.granted(1, lease.renew_at_ms)
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -26,7 +26,7 @@
     took_effect,
 )
 from pearloom.coordination.settings import StoreSettings
-from pearloom.coordination.timing import Backoff, Freshness, Hold, OwnLease
+from pearloom.coordination.timing import Backoff, Freshness, Hold, LocalLease
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
 
@@ -56,7 +56,7 @@
         self._now_ms = steady_ms
         self._read_pause, self._lease_pause = Backoff(random), Backoff(random)
         self._lease_s = settings.lease_s
-        self.lease = OwnLease(settings.lease_s * 1000.0)
+        self.lease = LocalLease(settings.lease_s * 1000.0)
         self.freshness = Freshness(settings.fresh_ms)
         self.snapshot: Snapshot | None = None
         self.highest: tuple[int, int] = (0, 0)  # cluster and revision: the newest that this process ever read
--- a/pearloom/coordination/timing.py
+++ b/pearloom/coordination/timing.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class OwnLease:
+class LocalLease:
     """The own lease by the own monotonic clock, which alone decides whether anything may be done on it."""
 
     ttl_ms: float
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -13,7 +13,7 @@
 from pearloom.coordination import Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Transaction, Write
 from pearloom.coordination.etcd import EtcdStore
 from pearloom.coordination.port import Changes, applied, took_effect
-from pearloom.coordination.timing import MOST_MS, Backoff, Freshness, Hold, OwnLease
+from pearloom.coordination.timing import MOST_MS, Backoff, Freshness, Hold, LocalLease
 from pearloom.core.counters import Counters
 from pearloom.fakes.etcd import Gateway
 
@@ -123,7 +123,7 @@
 
 # --- the decisions alone ------------------------------------------------------------------------------------
 def test_a_lease_counts_from_the_asking_and_is_unsure_before_its_end() -> None:
-    lease = OwnLease(10_000.0)
+    lease = LocalLease(10_000.0)
     assert lease.hold(0.0) is Hold.NONE
     lease.granted(7, asked_ms=1_000.0)
     assert lease.hold(10_499.0) is Hold.HELD
