--- a/pearloom/coordination/timing.py
+++ b/pearloom/coordination/timing.py
@@ -94,7 +94,7 @@
         return now_ms - self.read_ms <= self.fresh_ms
 
 
-def patience_ms(step: str, own: str, acting: Sequence[str]) -> float:
+def contention_delay_ms(step: str, own: str, acting: Sequence[str]) -> float:
     """How long to leave a step to others before trying it; the order differs from step to step.
 
     Guards against a whole fleet that tries the same transaction at once, of which all but one are lost."""
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -14,7 +14,7 @@
 from gevent.event import Event
 
 from pearloom.coordination import Link, Outcome, Snapshot, Transaction
-from pearloom.coordination.timing import patience_ms
+from pearloom.coordination.timing import contention_delay_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
@@ -168,7 +168,7 @@
         first = self._tried.setdefault(key, now)
         acting = [member.name for member in self._member.view.acting]
         mine = step.machine == self._member.name and step.to is not Phase.GRANTED
-        return mine or now - first >= patience_ms(step.slot, self._member.name, acting)
+        return mine or now - first >= contention_delay_ms(step.slot, self._member.name, acting)
 
     def _try(self, step: Step) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -15,7 +15,7 @@
 from gevent.event import Event
 
 from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
-from pearloom.coordination.timing import patience_ms, rank
+from pearloom.coordination.timing import contention_delay_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
 from pearloom.core.logs import crashed, note
@@ -186,7 +186,7 @@
         if self._tried[0] != key:
             self._tried = (key, now)
         acting = [one.name for one in self._member.view.acting]
-        return now - self._tried[1] >= patience_ms(key, self._member.name, acting)
+        return now - self._tried[1] >= contention_delay_ms(key, self._member.name, acting)
 
     def _try(self, step: steps.RolloutStep) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -221,7 +221,7 @@
 @given(st.integers(1, 40), st.text("0123456789abcdef", min_size=8, max_size=8))
 def test_softswitches_try_a_step_one_after_another(count: int, name: str) -> None:
     acting = [f"n{at}" for at in range(count)]
-    waits_ms = sorted(timing.patience_ms(name, one, acting) for one in acting)
+    waits_ms = sorted(timing.contention_delay_ms(name, one, acting) for one in acting)
     assert waits_ms[0] == 0.0 and waits_ms[-1] <= timing.PATIENCE_MOST_MS
     assert len(set(waits_ms)) == min(count, 15), "in steps, up to the longest"
-    assert timing.patience_ms(name, "stranger", acting) == pace.PATIENCE_MOST_MS
+    assert timing.contention_delay_ms(name, "stranger", acting) == pace.PATIENCE_MOST_MS
