--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -88,7 +88,7 @@
         head, followed = there.head, self._rollout.followed(there)
         yield (
             f"head={head.number} version={head.version} before={head.before}"
-            f" done={str(followed.done).lower()} fresh={str(self._link.fresh).lower()}"
+            f" done={str(followed.done).lower()} fresh={str(self._link.is_fresh).lower()}"
         )
         if self._rules.diverged:
             seen = self._rules.seen.number if self._rules.seen else 0
@@ -193,7 +193,7 @@
 
         def read() -> HeadState | Answer:
             there = self._rules.there
-            if there is None or not self._link.fresh:
+            if there is None or not self._link.is_fresh:
                 return away()
             return _won(there, asked.tag) or there
 
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -81,7 +81,7 @@
             gevent.spawn(self._quietly, lambda: self._store.revoke(number)).join(release_s)
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """May something new be started on what is at hand?"""
         return self.snapshot is not None and self.freshness.fresh(self._now_ms())
 
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -94,7 +94,7 @@
         ]  # fmt: skip
         slots = self.slots
         return Fleet(
-            weighed(machines, view.members), self._link.fresh,
+            weighed(machines, view.members), self._link.is_fresh,
             trouble=frozenset() if slots is None else zones_in_trouble(machines, slots),
             halted=self._hands.halted(), load=load(view.members),
         )  # fmt: skip
@@ -148,7 +148,7 @@
 
     def _once(self) -> None:
         slots = self.slots
-        if slots is None or not self._link.may_act() or not self._link.fresh:
+        if slots is None or not self._link.may_act() or not self._link.is_fresh:
             return
         adopted = records.adopt(slots, self._limits)
         if adopted is not None:
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -162,7 +162,7 @@
             return
         self._guard(head, rollout)
         self._listen(rollout, now)
-        if not self._link.fresh:
+        if not self._link.is_fresh:
             return
         self._tell(rollout, now)
         if now - self._looked_ms < rollout.terms.look_ms * min(1 + self._rank(rollout), MOST_LOOKS):
@@ -202,7 +202,7 @@
         if snapshot is None or now - self._listened_ms < LISTEN_MS:
             return
         self._listened_ms = now
-        if not self._link.fresh:
+        if not self._link.is_fresh:
             self._blind_ms = now
             return
         told, _ = evidence.told(snapshot, self._tally.stage)
@@ -229,12 +229,12 @@
         return steps.Seen(
             self._now_ms(), self._began_ms, heard, told,
             confirm.confirmations(snapshot), {one.name: one.zone for one in self._member.view.acting},
-            self._link.fresh, self._away_ms,
+            self._link.is_fresh, self._away_ms,
         )  # fmt: skip
 
     def _guard(self, head: Head, rollout: Rollout) -> None:
         """Cut off under a new version, and worse than before by its own figures: go back."""
-        if self._link.fresh or self._rules.left or self._rules.version != rollout.version:
+        if self._link.is_fresh or self._rules.left or self._rules.version != rollout.version:
             return
         terms = rollout.terms
         why = self._own.regressed(rollout.version, head.version, terms.tolerance, terms.rate)
