--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -57,7 +57,7 @@
         if slots is None:
             return away()
         reasons = {held.slot.id: wait for held, wait in self._host.waiting()}
-        lines = [f"fresh={str(self._host.fleet().fresh).lower()} limits.out={slots.limits.out}"]
+        lines = [f"fresh={str(self._host.fleet().is_fresh).lower()} limits.out={slots.limits.out}"]
         lines += [f"unreadable={key}" for key in slots.unreadable]
         for held in sorted(slots.slots, key=lambda held: held.slot.number):
             slot = held.slot
@@ -107,7 +107,7 @@
     def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
         def read() -> Slots | Answer:
             slots = self._host.slots
-            return away() if slots is None or not self._host.fleet().fresh else slots
+            return away() if slots is None or not self._host.fleet().is_fresh else slots
 
         return write(read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError)
 
--- a/pearloom/maintenance/order.py
+++ b/pearloom/maintenance/order.py
@@ -56,7 +56,7 @@
     """All that the order rests on beside the turns themselves."""
 
     machines: tuple[Machine, ...]
-    fresh: bool = True  # what was read of the store is young enough to begin something on
+    is_fresh: bool = True  # what was read of the store is young enough to begin something on
     trouble: frozenset[str] = frozenset()  # zones
     halted: bool = False  # a rollout has just halted
     load: float = 0.0  # set-ups that are out, in the unit of the capacities; 0 where those are of another
@@ -153,7 +153,7 @@
 def _everything(slots: Slots, fleet: Fleet) -> Wait | None:
     """What forbids every turn to begin."""
     checks: Sequence[tuple[Callable[[], bool], Wait]] = (
-        (lambda: not fleet.fresh, Wait.STALE),
+        (lambda: not fleet.is_fresh, Wait.STALE),
         (lambda: bool(slots.unreadable), Wait.UNREADABLE),
         (lambda: fleet.halted, Wait.HALTED),
     )
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -60,7 +60,7 @@
     """The one step to try now; `seen_ms`: when each turn was first seen here at its present revision.
 
     Steps that free room come before one that takes it, so that a full fleet does not wait for its order."""
-    if not own.may_act or not fleet.fresh:
+    if not own.may_act or not fleet.is_fresh:
         return None
     machines = {(one.kind, one.name): one for one in fleet.machines}
     for held in slots.slots:
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -96,7 +96,7 @@
         (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"a"})), [Wait.TROUBLE]),
         (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"b"})), [Wait.TROUBLE]),  # another one's
         (slots(slot(1)), Fleet(FLEET.machines, halted=True), [Wait.HALTED]),
-        (slots(slot(1)), Fleet(FLEET.machines, fresh=False), [Wait.STALE]),
+        (slots(slot(1)), Fleet(FLEET.machines, is_fresh=False), [Wait.STALE]),
         (slots(slot(9), slot(1)), FLEET, [None, Wait.UNKNOWN]),  # one that nobody knows holds up nobody
         (slots(slot(2), slot(1, zone="b")), GONE, [None, Wait.AWAY]),
     ],
@@ -168,7 +168,7 @@
 def test_nothing_is_tried_on_a_lease_that_may_have_ended_or_an_old_picture() -> None:
     held, seen = slot(1), {("t1", 11): 0.0}
     assert steps.next_step(slots(held), FLEET, Own("n1", 1, may_act=False), seen, 0.0) is None
-    assert steps.next_step(slots(held), Fleet(FLEET.machines, fresh=False), ME, seen, 0.0) is None
+    assert steps.next_step(slots(held), Fleet(FLEET.machines, is_fresh=False), ME, seen, 0.0) is None
 
 
 def test_a_turn_that_is_done_is_forgotten_after_a_while() -> None:
