--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -156,7 +156,7 @@
             more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
             return bad(found[0] + more)
         wanted = () if told.at_once else told.stages or self._settings.stages
-        zones = {one.name: one.zone for one in self._member.view.acting}
+        zones = {one.name: one.zone for one in self._member.view.live_members}
         if wanted and len(zones) < 2:
             # Guards against a rollout that has nobody to be compared with, and so can show nothing.
             return conflict("a rollout needs two live softswitches at least: ask for it at_once instead")
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -166,7 +166,7 @@
         """Own steps at once; those that anybody may do after the others before this one had their time."""
         now, key = self._now_ms(), (step.slot, step.to)
         first = self._tried.setdefault(key, now)
-        acting = [member.name for member in self._member.view.acting]
+        acting = [member.name for member in self._member.view.live_members]
         mine = step.machine == self._member.name and step.to is not Phase.GRANTED
         return mine or now - first >= contention_delay_ms(step.slot, self._member.name, acting)
 
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -85,7 +85,7 @@
         return next((member for member in self.members if member.name == name), None)
 
     @property
-    def acting(self) -> tuple[Member, ...]:
+    def live_members(self) -> tuple[Member, ...]:
         """Those that take part."""
         return tuple(member for member in self.members if member.acts)
 
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -178,14 +178,14 @@
 
     def _rank(self, rollout: Rollout) -> int:
         """How many others judge more often than this one does; another order in each stage."""
-        acting = [one.name for one in self._member.view.acting]
+        acting = [one.name for one in self._member.view.live_members]
         return rank(f"{rollout.id} {rollout.stage}", self._member.name, acting)
 
     def _is_time(self, step: steps.RolloutStep, rollout: Rollout, now: float) -> bool:
         key = f"{rollout.id} {rollout.stage} {step.did.value}"
         if self._tried[0] != key:
             self._tried = (key, now)
-        acting = [one.name for one in self._member.view.acting]
+        acting = [one.name for one in self._member.view.live_members]
         return now - self._tried[1] >= contention_delay_ms(key, self._member.name, acting)
 
     def _try(self, step: steps.RolloutStep) -> None:
@@ -228,7 +228,7 @@
         }
         return steps.Seen(
             self._now_ms(), self._began_ms, heard, told,
-            confirm.confirmations(snapshot), {one.name: one.zone for one in self._member.view.acting},
+            confirm.confirmations(snapshot), {one.name: one.zone for one in self._member.view.live_members},
             self._link.is_fresh, self._away_ms,
         )  # fmt: skip
 
@@ -249,7 +249,7 @@
         """Who goes by the head already."""
         view, snapshot = self._member.view, self._link.snapshot
         said = confirm.confirmations(snapshot) if snapshot is not None else {}
-        live = {one.name: one.incarnation for one in view.acting}
+        live = {one.name: one.incarnation for one in view.live_members}
         return confirm.followed(there.head.number, live, view.missing, said)
 
     def confirmations(self) -> dict[str, Confirmation]:
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -52,7 +52,7 @@
     view = look(there, View(), 0.0, BEAT_MS)
     assert condition(view) is wanted
     assert view.missing == (("n1",) if wanted in (Condition.AWAY, Condition.UNREADABLE) else ())
-    assert [one.name for one in view.acting] == (["n1"] if wanted is Condition.LIVE else [])
+    assert [one.name for one in view.live_members] == (["n1"] if wanted is Condition.LIVE else [])
 
 
 def test_one_that_tells_nothing_has_stalled_until_it_tells_again() -> None:
