--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -73,7 +73,7 @@
             if known.get(member.name) is not member.condition:
                 self._counters.add(f"member_{member.condition.value}")
                 note(
-                    logging.INFO if member.acts else logging.WARNING, "member", member=member.name,
+                    logging.INFO if member.is_live else logging.WARNING, "member", member=member.name,
                     condition=member.condition.value, incarnation=member.incarnation, zone=member.zone,
                 )  # fmt: skip
 
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -68,7 +68,7 @@
     told_ms: float  # when its beat was seen to change last, by the own clock; for one away, when it went
 
     @property
-    def acts(self) -> bool:
+    def is_live(self) -> bool:
         """Does it take part in what the fleet does?"""
         return self.condition is Condition.LIVE
 
@@ -87,7 +87,7 @@
     @property
     def live_members(self) -> tuple[Member, ...]:
         """Those that take part."""
-        return tuple(member for member in self.members if member.acts)
+        return tuple(member for member in self.members if member.is_live)
 
     @property
     def missing(self) -> tuple[str, ...]:
