--- a/benchmarks/store_load.py
+++ b/benchmarks/store_load.py
@@ -16,7 +16,7 @@
 
 from pearloom.coordination.timing import LocalLease
 from pearloom.fakes.fleet import Rig
-from pearloom.membership.view import paced_ms
+from pearloom.membership.view import heartbeat_interval_ms
 from pearloom.rollout.stages import tell_ms
 
 SECONDS, BEAT_MS, TELL_MS, LEASE_MS = 60, 2_000.0, 1_000.0, 5_000.0
@@ -25,7 +25,7 @@
 def simulated(members: int, rollout: bool, beat_ms: float, lease_ms: float) -> tuple[float, float]:
     """Writes and renewals a second."""
     random, writes, renewals = Random(members), 0, 0
-    periods = [paced_ms(beat_ms, members)] + ([tell_ms(TELL_MS, members)] if rollout else [])
+    periods = [heartbeat_interval_ms(beat_ms, members)] + ([tell_ms(TELL_MS, members)] if rollout else [])
     for _ in range(members):
         for period in periods:
             due = random.uniform(0.0, period)
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -18,11 +18,11 @@
     MemberFacts,
     View,
     doubled,
+    heartbeat_interval_ms,
     join,
     leave,
     look,
     next_facts,
-    paced_ms,
 )
 
 AGAIN_S = 0.2  # after a beat that was not written
@@ -57,7 +57,7 @@
 
     @property
     def _period_ms(self) -> float:
-        return paced_ms(self._beat_ms, len(self.view.members))
+        return heartbeat_interval_ms(self._beat_ms, len(self.view.members))
 
     def start(self) -> None:
         """Join, and tell of oneself from now on."""
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -184,7 +184,7 @@
     return facts is not None and facts.incarnation > incarnation
 
 
-def paced_ms(beat_ms: float, members: int) -> float:
+def heartbeat_interval_ms(beat_ms: float, members: int) -> float:
     """How often each member tells of itself, in a fleet of this size.
 
     Guards against a store that bears the square of the fleet: each beat is told to every softswitch."""
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -9,7 +9,7 @@
 
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.membership import MEMBERS, ROSTER, Condition, MemberFacts, View, join, leave, look
-from pearloom.membership.view import RosterEntry, doubled, paced_ms
+from pearloom.membership.view import RosterEntry, doubled, heartbeat_interval_ms
 
 BEAT_MS = 1_000.0
 
@@ -103,6 +103,6 @@
 
 
 def test_the_store_bears_the_same_number_of_beats_whatever_the_fleet() -> None:
-    assert paced_ms(2_000.0, 16) == 2_000.0
+    assert heartbeat_interval_ms(2_000.0, 16) == 2_000.0
     for fleet in (200, 1_000):
-        assert fleet / paced_ms(2_000.0, fleet) * 1_000.0 <= 100.0
+        assert fleet / heartbeat_interval_ms(2_000.0, fleet) * 1_000.0 <= 100.0
