--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -58,7 +58,7 @@
     Guard("a newer format is not guessed at", "coordination/values.py", "found.format == form", "True", (VIEW,)),
     Guard("a younger process of one name is seen", "membership/view.py", "facts is not None and facts.incarnation > incarnation", "False", (VIEW,)),
     Guard("what can't be read stops grants", "maintenance/order.py", "lambda: bool(slots.unreadable)", "lambda: False", (ORDER,)),
-    Guard("an old picture stops grants", "maintenance/order.py", "lambda: not fleet.fresh", "lambda: False", (ORDER,)),
+    Guard("an old picture stops grants", "maintenance/order.py", "lambda: not fleet.is_fresh", "lambda: False", (ORDER,)),
     Guard("machines out are limited", "maintenance/order.py", "self._out >= limits.out:", "False:", (ORDER,)),
     Guard("those of a zone are limited", "maintenance/order.py", "self._zones[slot.zone] >= limits.out_zone", "False", (ORDER,)),
     Guard("capacity has a floor", "maintenance/order.py", "if remains < max(", "if False and remains < max(", (ORDER,)),
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -204,7 +204,7 @@
 
         def moved(held: records.Held, **changes: object) -> tuple[object, object]:
             compare, write = records.moved(held, **changes)
-            return replace(compare, key="nothing", mod=0, value=None), write
+            return replace(compare, key="nothing", mod_revision=0, value=None), write
 
         monkeypatch.setattr(steps, "moved", moved)
 
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -224,4 +224,4 @@
     waits_ms = sorted(timing.contention_delay_ms(name, one, acting) for one in acting)
     assert waits_ms[0] == 0.0 and waits_ms[-1] <= timing.PATIENCE_MOST_MS
     assert len(set(waits_ms)) == min(count, 15), "in steps, up to the longest"
-    assert timing.contention_delay_ms(name, "stranger", acting) == pace.PATIENCE_MOST_MS
+    assert timing.contention_delay_ms(name, "stranger", acting) == timing.PATIENCE_MOST_MS
