--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -43,9 +43,9 @@
 
 def _read_turns(fields: Fields) -> MaintenanceSettings:
     """Loaded only where the file has the record: its library is none of the softswitch's own."""
-    from pearloom.maintenance.settings import read_turn_settings
+    from pearloom.maintenance.settings import read_maintenance_settings
 
-    return read_turn_settings(fields)
+    return read_maintenance_settings(fields)
 
 
 def _read_rules(fields: Fields) -> RulesSettings:
--- a/pearloom/maintenance/settings.py
+++ b/pearloom/maintenance/settings.py
@@ -19,7 +19,7 @@
     limits: Limits = field(default_factory=Limits)
 
 
-def read_turn_settings(fields: Fields) -> MaintenanceSettings:
+def read_maintenance_settings(fields: Fields) -> MaintenanceSettings:
     """The record `turns`; a RecordError says what is wrong and where."""
     base = Limits()
     count = fields.number
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -10,7 +10,7 @@
 
 from pearloom.coordination.settings import read_store
 from pearloom.iax2.settings import read_iax2
-from pearloom.maintenance.settings import read_turn_settings
+from pearloom.maintenance.settings import read_maintenance_settings
 from pearloom.records import Fields, RecordError, parse
 from pearloom.records.language import bare
 from pearloom.rules import read_rules_settings
@@ -104,7 +104,7 @@
     fields = Fields(parse(path.read_text(), path.name), path.name)
     assert fields.read("iax2", lambda inner: read_iax2(inner, CLASSES)) is not None
     assert fields.read("store", read_store) is not None
-    turns = fields.read("turns", read_turn_settings)
+    turns = fields.read("turns", read_maintenance_settings)
     assert turns is not None and (turns.limits.out, turns.limits.floor) == (2, 0.75)
     rules = fields.read("rules", read_rules_settings)
     assert rules is not None and rules.rollout.stages == (0.0, 0.1, 0.5)
@@ -130,5 +130,5 @@
     fields = Fields(parse(text, "f.cue"), "f.cue")
     with pytest.raises(RecordError) as trouble:
         fields.read("store", read_store)
-        fields.read("turns", read_turn_settings)
+        fields.read("turns", read_maintenance_settings)
     assert told in str(trouble.value)
