--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -52,7 +52,7 @@
         self._store = EtcdStore(store)
         self._link = Link(self._store, store, counters, SystemRandom(), steady_ms)
         self._member = MemberHost(
-            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.beat_ms,
+            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.heartbeat_ms,
             lambda: (exchange.decider.limits, exchange.open_calls), steady_ms,
         )  # fmt: skip
         context = LocalContext(config.class_names, config.tenant_names, turns.zone, self._cells())
--- a/pearloom/maintenance/settings.py
+++ b/pearloom/maintenance/settings.py
@@ -15,7 +15,7 @@
     """What the operator says of turns."""
 
     zone: str = ""  # this softswitch's own
-    beat_ms: float = 2_000.0  # how often it tells of itself
+    heartbeat_ms: float = 2_000.0  # how often it tells of itself
     limits: Limits = field(default_factory=Limits)
 
 
@@ -36,6 +36,6 @@
     )
     return MaintenanceSettings(
         zone=fields.text("zone", "", _ZONE, "a zone's name"),
-        beat_ms=float(count("beat_ms", 2_000, 200, 60_000)),
+        heartbeat_ms=float(count("beat_ms", 2_000, 200, 60_000)),
         limits=limits,
     )
