--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -21,13 +21,13 @@
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
-from pearloom.maintenance.records import FORMAT, Kind, MaintenanceError, Slot, Slots
+from pearloom.maintenance.records import FORMAT, MachineKind, MaintenanceError, Slot, Slots
 
 MOST_MACHINES = 64  # in one call
 
 
 class _Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    kind: Kind
+    kind: MachineKind
     name: str
 
 
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -12,7 +12,7 @@
 from pearloom.coordination.port import Entry, Snapshot, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.order import Fleet, Machine
-from pearloom.maintenance.records import FORMAT, Kind, Limits, Phase, Slot
+from pearloom.maintenance.records import FORMAT, Limits, MachineKind, Phase, Slot
 from pearloom.maintenance.steps import Own
 
 LOOK_MS = 250.0
@@ -52,11 +52,13 @@
     """Take every machine out once, each as soon as its turn comes."""
     random, now = Random(seed), 0.0
     fleet = [
-        Machine(Kind.SERVER, f"s-{at:08x}", f"zone-{at % zones}", incarnation=1) for at in range(machines)
+        Machine(MachineKind.SERVER, f"s-{at:08x}", f"zone-{at % zones}", incarnation=1)
+        for at in range(machines)
     ]
     works = {one.name: random.uniform(*work_ms) for one in fleet}
     asked = [
-        Slot(FORMAT, one.name[2:], Kind.SERVER, one.name, one.zone, "", False, "n1", "", 0) for one in fleet
+        Slot(FORMAT, one.name[2:], MachineKind.SERVER, one.name, one.zone, "", False, "n1", "", 0)
+        for one in fleet
     ]
     store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
     queued = apply(store, records.request(records.read_slots(store), asked))
--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -4,10 +4,18 @@
 """
 
 from pearloom.maintenance.order import Fleet, Machine, Wait, queue, waits
-from pearloom.maintenance.records import Kind, Limits, MaintenanceError, Phase, Slot, read_slots, request
+from pearloom.maintenance.records import (
+    Limits,
+    MachineKind,
+    MaintenanceError,
+    Phase,
+    Slot,
+    read_slots,
+    request,
+)
 from pearloom.maintenance.steps import Step, cancel, come_back, next_step
 
 __all__ = [
-    "Fleet", "Kind", "Limits", "Machine", "MaintenanceError", "Phase", "Slot", "Step", "Wait", "cancel",
+    "Fleet", "MachineKind", "Limits", "Machine", "MaintenanceError", "Phase", "Slot", "Step", "Wait", "cancel",
     "come_back", "next_step", "queue", "read_slots", "request", "waits",
 ]  # fmt: skip
--- a/pearloom/maintenance/capacity.py
+++ b/pearloom/maintenance/capacity.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from pearloom.maintenance.order import Machine
-from pearloom.maintenance.records import Kind
+from pearloom.maintenance.records import MachineKind
 from pearloom.membership.view import Member
 
 
@@ -23,8 +23,8 @@
         for server, limit in told.limits.items():
             servers[server] = servers.get(server, 0.0) + limit
     known = {
-        Kind.SERVER: servers,
-        Kind.SOFTSWITCH: {name: sum(told.limits.values()) for name, told in facts.items()},
+        MachineKind.SERVER: servers,
+        MachineKind.SOFTSWITCH: {name: sum(told.limits.values()) for name, told in facts.items()},
     }
     return tuple(replace(one, capacity=_of(one, known[one.kind])) for one in machines)
 
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -22,7 +22,7 @@
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.capacity import load, weighed
 from pearloom.maintenance.order import Fleet, Machine, Wait, waits
-from pearloom.maintenance.records import Held, Kind, Limits, Phase, Slots
+from pearloom.maintenance.records import Held, Limits, MachineKind, Phase, Slots
 from pearloom.maintenance.steps import Own, Step
 from pearloom.maintenance.trouble import zones_in_trouble
 from pearloom.membership.host import MemberHost
@@ -81,13 +81,19 @@
         view = self._member.view
         machines = [
             Machine(
-                Kind.SOFTSWITCH, one.name, one.zone, "", one.condition is Condition.LIVE, 1.0, one.incarnation
+                MachineKind.SOFTSWITCH,
+                one.name,
+                one.zone,
+                "",
+                one.condition is Condition.LIVE,
+                1.0,
+                one.incarnation,
             )
             for one in view.members
         ]
         machines += [
             Machine(
-                Kind.SERVER, one.entry.server, one.zone, f"cell-{one.entry.cell}",
+                MachineKind.SERVER, one.entry.server, one.zone, f"cell-{one.entry.cell}",
                 one.entry.state is PoolState.READY, 1.0, one.entry.started_us,
             )
             for one in self._hands.servers()
@@ -123,10 +129,10 @@
     def _follow(self, slots: Slots) -> None:
         """Do here what the turns say: withhold, drain, take up again."""
         held = [one.slot for one in slots.slots if one.slot.phase in (Phase.DRAINING, Phase.OUT)]
-        self._hands.withhold(slot.machine for slot in held if slot.kind is Kind.SERVER)
+        self._hands.withhold(slot.machine for slot in held if slot.kind is MachineKind.SERVER)
         me, life = self._member.name, self._member.incarnation
         drains = any(
-            slot.kind is Kind.SOFTSWITCH and slot.machine == me and slot.grant == life
+            slot.kind is MachineKind.SOFTSWITCH and slot.machine == me and slot.grant == life
             and not slot.note.startswith(steps.DIED)
             for slot in held
         )  # fmt: skip
--- a/pearloom/maintenance/order.py
+++ b/pearloom/maintenance/order.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from pearloom.maintenance.records import Held, Kind, Phase, Slot, Slots
+from pearloom.maintenance.records import Held, MachineKind, Phase, Slot, Slots
 
 
 class Wait(Enum):
@@ -42,7 +42,7 @@
 class Machine:
     """One machine as this softswitch sees it. `capacity` in any unit that is one for all of its kind."""
 
-    kind: Kind
+    kind: MachineKind
     name: str
     zone: str
     cell: str = ""
@@ -61,12 +61,12 @@
     halted: bool = False  # a rollout has just halted
     load: float = 0.0  # set-ups that are out, in the unit of the capacities; 0 where those are of another
 
-    def find(self, kind: Kind, name: str) -> Machine | None:
+    def find(self, kind: MachineKind, name: str) -> Machine | None:
         """The machine of this name."""
         return next((one for one in self.machines if one.kind is kind and one.name == name), None)
 
 
-def out(slots: Slots, fleet: Fleet) -> list[tuple[Kind, str, str, str]]:
+def out(slots: Slots, fleet: Fleet) -> list[tuple[MachineKind, str, str, str]]:
     """All machines that are out, on their turn or not: kind, name, zone, cell; each once."""
     found = {
         (one.kind, one.name): (one.kind, one.name, one.zone, one.cell)
@@ -91,7 +91,10 @@
         self._zones = Counter(zone for _, _, zone, _ in gone)
         self._cells = Counter(cell for _, _, _, cell in gone)
         names = {(kind, name) for kind, name, _, _ in gone}
-        self._whole, self._remains = defaultdict[Kind, float](float), defaultdict[Kind, float](float)
+        self._whole, self._remains = (
+            defaultdict[MachineKind, float](float),
+            defaultdict[MachineKind, float](float),
+        )
         for one in fleet.machines:
             self._whole[one.kind] += one.capacity
             self._remains[one.kind] += 0.0 if (one.kind, one.name) in names else one.capacity
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -25,7 +25,7 @@
     """A request that can't be taken; the text is one line for the operator."""
 
 
-class Kind(Enum):
+class MachineKind(Enum):
     """What is taken out."""
 
     SOFTSWITCH = "softswitch"
@@ -51,7 +51,7 @@
 
     format: int
     id: str
-    kind: Kind
+    kind: MachineKind
     machine: str
     zone: str
     cell: str
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -27,7 +27,16 @@
 
 from pearloom.coordination.port import Transaction, Write
 from pearloom.maintenance.order import Fleet, Machine, waits
-from pearloom.maintenance.records import GATE, Held, Kind, MaintenanceError, Phase, Slots, encode, moved
+from pearloom.maintenance.records import (
+    GATE,
+    Held,
+    MachineKind,
+    MaintenanceError,
+    Phase,
+    Slots,
+    encode,
+    moved,
+)
 
 DIED = "died on its "  # how the notes of those begin that did
 KEEP_MS = 60_000.0  # a turn that is done is shown for so long
@@ -113,7 +122,7 @@
         case Phase.GRANTED:
             if away or reborn:
                 return _step(held, Phase.OUT, DIED + "turn")
-            if slot.kind is Kind.SERVER or _mine(held, own):
+            if slot.kind is MachineKind.SERVER or _mine(held, own):
                 return _step(held, Phase.DRAINING, "taken up")
             if since_ms > limits.take_up_ms:
                 return _free(held, slots, Phase.WAITING, "not taken up", grant=0)
@@ -141,7 +150,7 @@
 def _mine(held: Held, own: Own) -> bool:
     """Is it this softswitch's own turn, granted in this very life?"""
     slot = held.slot
-    return slot.kind is Kind.SOFTSWITCH and slot.machine == own.name and slot.grant == own.incarnation
+    return slot.kind is MachineKind.SOFTSWITCH and slot.machine == own.name and slot.grant == own.incarnation
 
 
 def _reborn(held: Held, machine: Machine | None) -> bool:
--- a/tests/maintenance/test_capacity.py
+++ b/tests/maintenance/test_capacity.py
@@ -8,11 +8,11 @@
 from pearloom.maintenance import records
 from pearloom.maintenance.capacity import load, weighed
 from pearloom.maintenance.order import Fleet, Machine, Wait, waits
-from pearloom.maintenance.records import Gate, Held, Kind, Limits, Slot, Slots
+from pearloom.maintenance.records import Gate, Held, Limits, MachineKind, Slot, Slots
 from pearloom.membership import Condition, Member, MemberFacts
 from pearloom.membership.view import MOST_GATES, decode_facts, next_facts
 
-SERVERS = [Machine(Kind.SERVER, f"s-{at}", "a") for at in (1, 2, 3)]
+SERVERS = [Machine(MachineKind.SERVER, f"s-{at}", "a") for at in (1, 2, 3)]
 
 
 def member(name: str, limits: dict[str, float], outstanding: int = 0) -> Member:
@@ -27,7 +27,7 @@
 def test_a_server_can_carry_what_all_gates_to_it_allow() -> None:
     told = [member("n1", {"s-1": 4.0, "s-2": 1.0}), member("n2", {"s-1": 2.0, "s-2": 0.0, "s-3": 3.0})]
     assert capacities(SERVERS, told) == [6.0, 1.0, 3.0]
-    switches = [Machine(Kind.SOFTSWITCH, name, "a") for name in ("n1", "n2")]
+    switches = [Machine(MachineKind.SOFTSWITCH, name, "a") for name in ("n1", "n2")]
     assert capacities(switches, told) == [5.0, 5.0]
 
 
@@ -52,7 +52,7 @@
     limits: dict[str, float], out: int, floor: float, wait: Wait | None
 ) -> None:
     members = [member("n1", limits, out)]
-    slot = Slot(1, "t", Kind.SERVER, "s-1", "a", "", False, "n1", "", 1)
+    slot = Slot(1, "t", MachineKind.SERVER, "s-1", "a", "", False, "n1", "", 1)
     slots = Slots(
         (Held(slot, 5, records.encode(slot)),),
         gate=Gate(1, 1),
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -22,7 +22,7 @@
 from pearloom.fakes.fleet.simulation import apply, roll
 from pearloom.maintenance import order, records, steps
 from pearloom.maintenance.order import Fleet, Machine
-from pearloom.maintenance.records import Kind, Limits, Phase, Slot
+from pearloom.maintenance.records import Limits, MachineKind, Phase, Slot
 from pearloom.maintenance.steps import Own
 
 NAMES = ("n1", "n2")
@@ -65,14 +65,14 @@
 
 
 def ask(name: str, urgent: bool) -> Slot:
-    return Slot(1, f"t-{name}", Kind.SOFTSWITCH, name, f"zone-{name}", "", urgent, "n1", "kernel", 0)
+    return Slot(1, f"t-{name}", MachineKind.SOFTSWITCH, name, f"zone-{name}", "", urgent, "n1", "kernel", 0)
 
 
 def fleet_of(world: World) -> Fleet:
     """As both see it: leases end at the store, so what one sees of the other is what the store says."""
     return Fleet(
         tuple(
-            Machine(Kind.SOFTSWITCH, name, f"zone-{name}", ready=node.alive, incarnation=node.life)
+            Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", ready=node.alive, incarnation=node.life)
             for name, node in zip(NAMES, world.nodes, strict=True)
         )
     )
@@ -219,7 +219,7 @@
 def test_a_grant_into_room_that_a_lost_write_had_freed_does_not_pass() -> None:
     """Guards against a compare on revisions alone: a store that lost a write gives its revision again."""
     limits = Limits(out=1, floor=0.0)
-    machines = tuple(Machine(Kind.SOFTSWITCH, name, f"zone-{name}", incarnation=1) for name in NAMES)
+    machines = tuple(Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", incarnation=1) for name in NAMES)
     fleet, own = Fleet(machines), Own("n1", 1)
     store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
     assert store is not None
@@ -250,7 +250,7 @@
 
 def replace_id(slot: Slot) -> Slot:
     """Another machine's turn, so that it may be asked for beside those that are there."""
-    return Slot(1, "t-n3", Kind.SOFTSWITCH, "n3", slot.zone, "", False, "n1", slot.reason, 0)
+    return Slot(1, "t-n3", MachineKind.SOFTSWITCH, "n3", slot.zone, "", False, "n1", slot.reason, 0)
 
 
 def test_rolling_work_over_a_simulated_fleet_keeps_the_limits_and_wastes_little() -> None:
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -14,8 +14,8 @@
     FORMAT,
     Gate,
     Held,
-    Kind,
     Limits,
+    MachineKind,
     MaintenanceError,
     Phase,
     Slot,
@@ -32,7 +32,7 @@
     zone: str = "a",
     urgent: bool = False,
     phase: Phase = Phase.WAITING,
-    kind: Kind = Kind.SOFTSWITCH,
+    kind: MachineKind = MachineKind.SOFTSWITCH,
     cell: str = "",
     grant: int = 0,
     note: str = "",
@@ -43,7 +43,7 @@
 
 
 def machine(name: str, zone: str = "a", ready: bool = True, life: int = 1, cell: str = "") -> Machine:
-    kind = Kind.SERVER if name.startswith("s-") else Kind.SOFTSWITCH
+    kind = MachineKind.SERVER if name.startswith("s-") else MachineKind.SOFTSWITCH
     return Machine(kind, name, zone, cell, ready, incarnation=life)
 
 
@@ -89,8 +89,8 @@
         (slots(slot(1), limits=ZONE), GONE, [Wait.ZONE]),
         (slots(slot(1), slot(4, zone="b"), limits=ZONE), GONE, [Wait.ZONE, None]),  # other zones go on
         (slots(slot(1, urgent=True), slot(4, zone="b"), limits=ZONE), GONE, [Wait.ZONE, Wait.BEHIND]),
-        (slots(slot(1, "s-1", kind=Kind.SERVER, cell="c1"), limits=CELL), CELLS, [Wait.CELL]),
-        (slots(slot(1, "s-3", kind=Kind.SERVER, cell="c2"), limits=CELL), CELLS, [None]),
+        (slots(slot(1, "s-1", kind=MachineKind.SERVER, cell="c1"), limits=CELL), CELLS, [Wait.CELL]),
+        (slots(slot(1, "s-3", kind=MachineKind.SERVER, cell="c2"), limits=CELL), CELLS, [None]),
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.5)), GONE, [Wait.FLOOR]),
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.33)), GONE, [None]),
         (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"a"})), [Wait.TROUBLE]),
--- a/tests/maintenance/test_trouble.py
+++ b/tests/maintenance/test_trouble.py
@@ -6,19 +6,19 @@
 
 from pearloom.maintenance import records
 from pearloom.maintenance.order import Machine
-from pearloom.maintenance.records import FORMAT, Held, Kind, Phase, Slot, Slots
+from pearloom.maintenance.records import FORMAT, Held, MachineKind, Phase, Slot, Slots
 from pearloom.maintenance.trouble import zones_in_trouble
 
 
 def zone(name: str, ready: int, away: int) -> list[Machine]:
     return [
-        Machine(Kind.SERVER, f"{name}{at}", name, ready=at >= away, incarnation=1)
+        Machine(MachineKind.SERVER, f"{name}{at}", name, ready=at >= away, incarnation=1)
         for at in range(ready + away)
     ]
 
 
 def on_turn(machine: str, phase: Phase) -> Held:
-    slot = Slot(FORMAT, machine, Kind.SERVER, machine, "a", "", False, "n1", "", 1, phase, 1)
+    slot = Slot(FORMAT, machine, MachineKind.SERVER, machine, "a", "", False, "n1", "", 1, phase, 1)
     return Held(slot, 5, records.encode(slot))
 
 
