--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -13,7 +13,7 @@
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.order import Fleet, Machine
 from pearloom.maintenance.records import FORMAT, Limits, MachineKind, Phase, Slot
-from pearloom.maintenance.steps import Own
+from pearloom.maintenance.steps import LocalSoftswitch
 
 LOOK_MS = 250.0
 
@@ -84,7 +84,7 @@
             else one
             for one in fleet
         ]
-        step = steps.next_step(slots, Fleet(tuple(fleet)), Own("n1", 1), seen, now)
+        step = steps.next_step(slots, Fleet(tuple(fleet)), LocalSoftswitch("n1", 1), seen, now)
         if step is None:
             now += LOOK_MS
             continue
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -23,7 +23,7 @@
 from pearloom.maintenance.capacity import load, weighed
 from pearloom.maintenance.order import Fleet, Machine, Wait, waits
 from pearloom.maintenance.records import Held, Limits, MachineKind, Phase, Slots
-from pearloom.maintenance.steps import Own, Step
+from pearloom.maintenance.steps import LocalSoftswitch, Step
 from pearloom.maintenance.trouble import zones_in_trouble
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
@@ -161,7 +161,7 @@
             self._link.commit(adopted)
             return
         idle = self._drains and self._hands.idle()
-        own = Own(self._member.name, self._member.incarnation, idle, self._link.may_act())
+        own = LocalSoftswitch(self._member.name, self._member.incarnation, idle, self._link.may_act())
         step = steps.next_step(slots, self.fleet(), own, self._seen_ms, self._now_ms())
         if step is None:
             self._tried.clear()
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class LocalSoftswitch:
     """This softswitch itself: what it needs to take its own turn up and to end its drain."""
 
     name: str
@@ -64,7 +64,7 @@
 
 
 def next_step(
-    slots: Slots, fleet: Fleet, own: Own, seen_ms: Mapping[tuple[str, int], float], now_ms: float
+    slots: Slots, fleet: Fleet, own: LocalSoftswitch, seen_ms: Mapping[tuple[str, int], float], now_ms: float
 ) -> Step | None:
     """The one step to try now; `seen_ms`: when each turn was first seen here at its present revision.
 
@@ -113,7 +113,9 @@
     return Step(held.slot.id, held.slot.machine, Phase.GRANTED, "next", attempt)
 
 
-def _onward(held: Held, machine: Machine | None, own: Own, slots: Slots, since_ms: float) -> Step | None:
+def _onward(
+    held: Held, machine: Machine | None, own: LocalSoftswitch, slots: Slots, since_ms: float
+) -> Step | None:
     """The step of a turn that has begun, if there is one."""
     slot, limits = held.slot, slots.limits
     away = machine is None or not machine.ready
@@ -147,7 +149,7 @@
     return None
 
 
-def _mine(held: Held, own: Own) -> bool:
+def _mine(held: Held, own: LocalSoftswitch) -> bool:
     """Is it this softswitch's own turn, granted in this very life?"""
     slot = held.slot
     return slot.kind is MachineKind.SOFTSWITCH and slot.machine == own.name and slot.grant == own.incarnation
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -23,7 +23,7 @@
 from pearloom.maintenance import order, records, steps
 from pearloom.maintenance.order import Fleet, Machine
 from pearloom.maintenance.records import Limits, MachineKind, Phase, Slot
-from pearloom.maintenance.steps import Own
+from pearloom.maintenance.steps import LocalSoftswitch
 
 NAMES = ("n1", "n2")
 REVISIONS = 9  # of the store, up to which is explored
@@ -128,7 +128,9 @@
 def decide(world: World, name: str, node: Node, idle: bool, waited: float) -> steps.Step | None:
     slots = reading(node.read)
     seen = {(held.slot.id, held.mod_revision): -waited for held in slots.slots}
-    return steps.next_step(slots, fleet_of(world), Own(name, node.life, idle, node.alive), seen, 0.0)
+    return steps.next_step(
+        slots, fleet_of(world), LocalSoftswitch(name, node.life, idle, node.alive), seen, 0.0
+    )
 
 
 def works_on(node: Node) -> tuple[int, int]:
@@ -220,7 +222,7 @@
     """Guards against a compare on revisions alone: a store that lost a write gives its revision again."""
     limits = Limits(out=1, floor=0.0)
     machines = tuple(Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", incarnation=1) for name in NAMES)
-    fleet, own = Fleet(machines), Own("n1", 1)
+    fleet, own = Fleet(machines), LocalSoftswitch("n1", 1)
     store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
     assert store is not None
     store = apply(store, records.request(reading(store), [ask(name, urgent=False) for name in NAMES]))
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -21,7 +21,7 @@
     Slot,
     Slots,
 )
-from pearloom.maintenance.steps import KEEP_MS, Own, Step
+from pearloom.maintenance.steps import KEEP_MS, LocalSoftswitch, Step
 
 WIDE = Limits(out=9, out_zone=9, out_cell=9, floor=0.0, take_up_ms=1_000, drain_ms=2_000, settle_ms=3_000)
 
@@ -116,16 +116,20 @@
 
 
 def stepped(
-    held: Held, there: Machine | None, waited_ms: float = 0.0, own: Own | None = None, limits: Limits = WIDE
+    held: Held,
+    there: Machine | None,
+    waited_ms: float = 0.0,
+    own: LocalSoftswitch | None = None,
+    limits: Limits = WIDE,
 ) -> Step | None:
     fleet = Fleet((there,) if there is not None else ())
-    own = own or Own("n9", 1)
+    own = own or LocalSoftswitch("n9", 1)
     return steps.next_step(
         slots(held, limits=limits), fleet, own, {(held.slot.id, held.mod_revision): -waited_ms}, 0.0
     )
 
 
-ME, MINE = Own("n1", 1), {"grant": 1}
+ME, MINE = LocalSoftswitch("n1", 1), {"grant": 1}
 LIVE, DEAD, REBORN = machine("n1"), machine("n1", ready=False), machine("n1", life=2)
 
 
@@ -133,28 +137,34 @@
     ("phase", "there", "waited_ms", "own", "to"),
     [
         (Phase.GRANTED, LIVE, 0, ME, Phase.DRAINING),
-        (Phase.GRANTED, LIVE, 999, Own("n9", 1), None),
-        (Phase.GRANTED, LIVE, 1_001, Own("n9", 1), Phase.WAITING),
-        (Phase.GRANTED, LIVE, 0, Own("n1", 2), None),  # this life has no grant
-        (Phase.GRANTED, DEAD, 0, Own("n9", 1), Phase.OUT),
-        (Phase.GRANTED, REBORN, 0, Own("n9", 1), Phase.OUT),
-        (Phase.GRANTED, None, 0, Own("n9", 1), Phase.OUT),
+        (Phase.GRANTED, LIVE, 999, LocalSoftswitch("n9", 1), None),
+        (Phase.GRANTED, LIVE, 1_001, LocalSoftswitch("n9", 1), Phase.WAITING),
+        (Phase.GRANTED, LIVE, 0, LocalSoftswitch("n1", 2), None),  # this life has no grant
+        (Phase.GRANTED, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
+        (Phase.GRANTED, REBORN, 0, LocalSoftswitch("n9", 1), Phase.OUT),
+        (Phase.GRANTED, None, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.DRAINING, LIVE, 0, ME, None),
-        (Phase.DRAINING, LIVE, 0, Own("n1", 1, idle=True), Phase.OUT),
-        (Phase.DRAINING, LIVE, 0, Own("n9", 1, idle=True), None),  # another one's idleness is not its own
-        (Phase.DRAINING, LIVE, 2_001, Own("n9", 1), Phase.OUT),
-        (Phase.DRAINING, DEAD, 0, Own("n9", 1), Phase.OUT),
+        (Phase.DRAINING, LIVE, 0, LocalSoftswitch("n1", 1, idle=True), Phase.OUT),
+        (
+            Phase.DRAINING,
+            LIVE,
+            0,
+            LocalSoftswitch("n9", 1, idle=True),
+            None,
+        ),  # another one's idleness is not its own
+        (Phase.DRAINING, LIVE, 2_001, LocalSoftswitch("n9", 1), Phase.OUT),
+        (Phase.DRAINING, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.OUT, LIVE, 9e9, ME, None),  # no time ends work
-        (Phase.OUT, DEAD, 9e9, Own("n9", 1), None),
-        (Phase.OUT, REBORN, 0, Own("n9", 1), Phase.RETURNING),
+        (Phase.OUT, DEAD, 9e9, LocalSoftswitch("n9", 1), None),
+        (Phase.OUT, REBORN, 0, LocalSoftswitch("n9", 1), Phase.RETURNING),
         (Phase.RETURNING, LIVE, 2_999, ME, None),
         (Phase.RETURNING, LIVE, 3_001, ME, Phase.DONE),
-        (Phase.RETURNING, DEAD, 0, Own("n9", 1), Phase.OUT),
+        (Phase.RETURNING, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.DONE, LIVE, KEEP_MS - 1, ME, None),
     ],
 )
 def test_the_life_of_a_turn(
-    phase: Phase, there: Machine | None, waited_ms: float, own: Own, to: Phase | None
+    phase: Phase, there: Machine | None, waited_ms: float, own: LocalSoftswitch, to: Phase | None
 ) -> None:
     step = stepped(slot(1, phase=phase, grant=1), there, waited_ms, own)
     assert (step.to if step else None) is to
@@ -167,7 +177,7 @@
 
 def test_nothing_is_tried_on_a_lease_that_may_have_ended_or_an_old_picture() -> None:
     held, seen = slot(1), {("t1", 11): 0.0}
-    assert steps.next_step(slots(held), FLEET, Own("n1", 1, may_act=False), seen, 0.0) is None
+    assert steps.next_step(slots(held), FLEET, LocalSoftswitch("n1", 1, may_act=False), seen, 0.0) is None
     assert steps.next_step(slots(held), Fleet(FLEET.machines, is_fresh=False), ME, seen, 0.0) is None
 
 
