--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -90,7 +90,7 @@
                 self._name, work.reason, 0,
             )  # fmt: skip
             asked.append(slot)
-        done = self._write(lambda slots: records.request(slots, asked))
+        done = self._write(lambda slots: records.request_slots(slots, asked))
         if done.status is HTTPStatus.ACCEPTED and (now := self._host.slots) is not None:
             # The ids are drawn here: that the queue has them proves it, though they have moved on since.
             done = Answer(HTTPStatus.OK) if all(now.find(slot.id) for slot in asked) else done
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -61,7 +61,7 @@
         for one in fleet
     ]
     store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
-    queued = apply(store, records.request(records.read_slots(store), asked))
+    queued = apply(store, records.request_slots(records.read_slots(store), asked))
     assert queued is not None, "nobody else writes"
     store, began, seen = queued, dict[str, float](), dict[tuple[str, int], float]()
     most_out, least, writes = 0, machines, 1
--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -11,11 +11,11 @@
     Phase,
     Slot,
     read_slots,
-    request,
+    request_slots,
 )
 from pearloom.maintenance.steps import Step, cancel, come_back, next_step
 
 __all__ = [
     "Fleet", "MachineKind", "Limits", "Machine", "MaintenanceError", "Phase", "Slot", "Step", "Wait", "cancel",
-    "come_back", "next_step", "queue", "read_slots", "request", "waits",
+    "come_back", "next_step", "queue", "read_slots", "request_slots", "waits",
 ]  # fmt: skip
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -180,7 +180,7 @@
     return held.compare, Write(held.slot.key, encode(slot))
 
 
-def request(there: Slots, asked: list[Slot]) -> Transaction:
+def request_slots(there: Slots, asked: list[Slot]) -> Transaction:
     """Put these into the queue, in this order; a TurnError says what is wrong with them.
 
     The gate gives each its number, so that two operators at two softswitches get one order."""
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -59,7 +59,7 @@
 
 def start(limits: Limits, faults: int) -> World:
     store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
-    first = apply(store, records.request(reading(store), [ask("n1", urgent=False)]))
+    first = apply(store, records.request_slots(reading(store), [ask("n1", urgent=False)]))
     assert first is not None
     return World(first, tuple(Node(10 + at, read=first) for at in range(len(NAMES))), faults)
 
@@ -81,7 +81,7 @@
 def moves(world: World) -> Iterator[tuple[str, World]]:
     """Every single thing that may happen next."""
     if world.store.find("turns/t-n2") is None and world.store.revision < 6:
-        asked = apply(world.store, records.request(reading(world.store), [ask("n2", urgent=True)]))
+        asked = apply(world.store, records.request_slots(reading(world.store), [ask("n2", urgent=True)]))
         assert asked is not None
         yield "an urgent request comes", replace(world, store=asked, past=world.store)
     if world.faults and world.past is not None:
@@ -225,7 +225,7 @@
     fleet, own = Fleet(machines), LocalSoftswitch("n1", 1)
     store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
     assert store is not None
-    store = apply(store, records.request(reading(store), [ask(name, urgent=False) for name in NAMES]))
+    store = apply(store, records.request_slots(reading(store), [ask(name, urgent=False) for name in NAMES]))
 
     def on(there: Snapshot, fleet: Fleet, waited: float) -> steps.Step:
         seen = {(held.slot.id, held.mod_revision): -waited for held in reading(there).slots}
@@ -245,7 +245,7 @@
     assert freed is not None
     late = on(freed, fleet, 0.0)
     assert (late.to, late.machine) == (Phase.GRANTED, "n2")
-    other = apply(store, records.request(reading(store), [replace_id(ask("n1", urgent=False))]))
+    other = apply(store, records.request_slots(reading(store), [replace_id(ask("n1", urgent=False))]))
     assert other is not None and other.revision == freed.revision
     assert apply(other, late.transaction) is None
 
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -109,7 +109,7 @@
     there = records.read_slots(Snapshot(1, 9, (Entry("turns/t1", b"{}", 1, 1),)))
     assert there.unreadable == ("turns/t1",)
     with pytest.raises(MaintenanceError, match="turns/t1"):
-        records.request(there, [slot(1).slot])
+        records.request_slots(there, [slot(1).slot])
     good = records.encode(slot(1).slot)
     there = records.read_slots(Snapshot(1, 9, (Entry("turns/t1", good, 1, 1), Entry("turns/x", b"", 2, 2))))
     assert [reason for _, reason in waits(there, FLEET)] == [Wait.UNREADABLE]
@@ -204,11 +204,11 @@
 
 def test_a_machine_has_one_turn_and_the_queue_has_an_end() -> None:
     with pytest.raises(MaintenanceError, match="has turn t1 already"):
-        records.request(slots(slot(1)), [slot(2, "n1").slot])
+        records.request_slots(slots(slot(1)), [slot(2, "n1").slot])
     with pytest.raises(MaintenanceError, match="twice"):
-        records.request(slots(), [slot(1, "n1").slot, slot(2, "n1").slot])
+        records.request_slots(slots(), [slot(1, "n1").slot, slot(2, "n1").slot])
     with pytest.raises(MaintenanceError, match="full"):
-        records.request(slots(*(slot(at) for at in range(records.MOST_SLOTS))), [slot(9999).slot])
+        records.request_slots(slots(*(slot(at) for at in range(records.MOST_SLOTS))), [slot(9999).slot])
 
 
 def test_limits_of_a_higher_edition_hold() -> None:
