--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -102,7 +102,7 @@
         return self._write(lambda slots: steps.cancel(slots, ask.rest).transaction)
 
     def _back(self, ask: Ask) -> Answer:
-        return self._write(lambda slots: steps.come_back(slots, ask.rest).transaction)
+        return self._write(lambda slots: steps.mark_returned(slots, ask.rest).transaction)
 
     def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
         def read() -> Slots | Answer:
--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -13,9 +13,9 @@
     read_slots,
     request_slots,
 )
-from pearloom.maintenance.steps import Step, cancel, come_back, next_step
+from pearloom.maintenance.steps import Step, cancel, mark_returned, next_step
 
 __all__ = [
     "Fleet", "MachineKind", "Limits", "Machine", "MaintenanceError", "Phase", "Slot", "Step", "Wait", "cancel",
-    "come_back", "next_step", "queue", "read_slots", "request_slots", "waits",
+    "mark_returned", "next_step", "queue", "read_slots", "request_slots", "waits",
 ]  # fmt: skip
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -173,7 +173,7 @@
             raise MaintenanceError(f"turn {slot} is {phase.value}: say that its machine is back instead")
 
 
-def come_back(slots: Slots, slot: str) -> Step:
+def mark_returned(slots: Slots, slot: str) -> Step:
     """The operator says that a machine that is out is back, where nothing else shows it."""
     held = _held(slots, slot)
     if held.slot.phase is not Phase.OUT:
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -190,10 +190,10 @@
 def test_what_operators_may_say_at_each_phase(phase: Phase) -> None:
     there = slots(slot(1, phase=phase))
     if phase is Phase.OUT:
-        assert steps.come_back(there, "t1").to is Phase.RETURNING
+        assert steps.mark_returned(there, "t1").to is Phase.RETURNING
     else:
         with pytest.raises(MaintenanceError):
-            steps.come_back(there, "t1")
+            steps.mark_returned(there, "t1")
     if phase in (Phase.OUT, Phase.RETURNING):
         with pytest.raises(MaintenanceError):
             steps.cancel(there, "t1")
