--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -60,7 +60,7 @@
         Slot(FORMAT, one.name[2:], MachineKind.SERVER, one.name, one.zone, "", False, "n1", "", 0)
         for one in fleet
     ]
-    store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
+    store = Snapshot(1, 1, (Entry(records.LIMITS_KEY, records.encode(limits), 1, 1),))
     queued = apply(store, records.request_slots(records.read_slots(store), asked))
     assert queued is not None, "nobody else writes"
     store, began, seen = queued, dict[str, float](), dict[tuple[str, int], float]()
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -15,7 +15,7 @@
 from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
 from pearloom.coordination.values import decode_record
 
-TURNS, GATE, LIMITS = "turns/", "turns-gate", "turns-limits"
+TURNS, GATE, LIMITS_KEY = "turns/", "turns-gate", "turns-limits"
 FORMAT = 1
 MOST_SLOTS = 512  # that the queue holds: a request beyond is refused
 MOST_NAME = 64
@@ -137,7 +137,7 @@
     @property
     def limits_compare(self) -> Compare:
         """The limits are those that were read."""
-        return Compare(LIMITS, self.limits_mod, self.limits_value)
+        return Compare(LIMITS_KEY, self.limits_mod, self.limits_value)
 
     def find(self, slot: str) -> Held | None:
         """The turn of this id."""
@@ -153,10 +153,10 @@
             unreadable.append(entry.key)
         else:
             slots.append(Held(slot, entry.mod_revision, entry.value))
-    gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS)
+    gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS_KEY)
     gate = decode_record(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
     limits = decode_record(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
-    unreadable += [key for key, found in ((GATE, gate), (LIMITS, limits)) if found is None]
+    unreadable += [key for key, found in ((GATE, gate), (LIMITS_KEY, limits)) if found is None]
     return Slots(
         tuple(slots),
         gate or Gate(),
@@ -209,6 +209,6 @@
 
 def adopt(there: Slots, own: Limits) -> Transaction | None:
     """Put the own file's limits into the store, if they are of a higher edition than what is there."""
-    if there.limits_mod and own.edition <= there.limits.edition or LIMITS in there.unreadable:
+    if there.limits_mod and own.edition <= there.limits.edition or LIMITS_KEY in there.unreadable:
         return None
-    return Transaction((there.limits_compare,), (Write(LIMITS, encode(own)),))
+    return Transaction((there.limits_compare,), (Write(LIMITS_KEY, encode(own)),))
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -58,7 +58,7 @@
 
 
 def start(limits: Limits, faults: int) -> World:
-    store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
+    store = Snapshot(1, 1, (Entry(records.LIMITS_KEY, records.encode(limits), 1, 1),))
     first = apply(store, records.request_slots(reading(store), [ask("n1", urgent=False)]))
     assert first is not None
     return World(first, tuple(Node(10 + at, read=first) for at in range(len(NAMES))), faults)
@@ -223,7 +223,7 @@
     limits = Limits(out=1, floor=0.0)
     machines = tuple(Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", incarnation=1) for name in NAMES)
     fleet, own = Fleet(machines), LocalSoftswitch("n1", 1)
-    store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
+    store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS_KEY, records.encode(limits), 1, 1),))
     assert store is not None
     store = apply(store, records.request_slots(reading(store), [ask(name, urgent=False) for name in NAMES]))
 
