--- a/pearloom/coordination/etcd.py
+++ b/pearloom/coordination/etcd.py
@@ -55,7 +55,7 @@
         self._client = self._dial()
 
     def _dial(self) -> Etcd3Client:
-        host, port = self._settings.at[self._at % len(self._settings.at)]
+        host, port = self._settings.addresses[self._at % len(self._settings.addresses)]
         session = requests.Session()
         session.trust_env = False  # no proxy of the surroundings comes between a softswitch and its store
         session.mount("http://", HTTPAdapter(pool_connections=1, pool_maxsize=THREADS, max_retries=0))
--- a/pearloom/coordination/settings.py
+++ b/pearloom/coordination/settings.py
@@ -14,7 +14,7 @@
 class StoreSettings:
     """Where the store is, and how long things may take."""
 
-    at: tuple[Address, ...]  # tried in this order, the next one after a failure
+    addresses: tuple[Address, ...]  # tried in this order, the next one after a failure
     prefix: str = "/pearloom/"
     timeout_ms: float = 1_000.0  # of one call
     lease_s: int = 5
