--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -69,7 +69,7 @@
         hands = MaintenanceCallbacks(
             drain,
             activate,
-            idle=lambda: not exchange.open_calls + exchange.standing_calls,
+            is_idle=lambda: not exchange.open_calls + exchange.standing_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
             halted=lambda: self._rollout.halted,
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -38,7 +38,7 @@
 
     drain: Callable[[], object]
     activate: Callable[[], object]
-    idle: Callable[[], bool]
+    is_idle: Callable[[], bool]
     withhold: Callable[[Iterable[str]], None]
     servers: Callable[[], Iterable[Server]]
     halted: Callable[[], bool]  # has a rollout just halted?
@@ -160,7 +160,7 @@
         if adopted is not None:
             self._link.commit(adopted)
             return
-        idle = self._drains and self._hands.idle()
+        idle = self._drains and self._hands.is_idle()
         own = LocalSoftswitch(self._member.name, self._member.incarnation, idle, self._link.may_act())
         step = steps.next_step(slots, self.fleet(), own, self._seen_ms, self._now_ms())
         if step is None:
