--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -61,7 +61,7 @@
         self.snapshot: Snapshot | None = None
         self.highest: tuple[int, int] = (0, 0)  # cluster and revision: the newest that this process ever read
         self.on_change: list[Callable[[Snapshot], None]] = []
-        self.on_lease: list[
+        self.on_lease_granted: list[
             Callable[[], None]
         ] = []  # a new lease was granted: what hung on the old one is gone
         self._changed = Event()
@@ -186,7 +186,7 @@
                         note(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
-                    for told in self.on_lease:
+                    for told in self.on_lease_granted:
                         told()
                 self._lease_pause.succeeded()
             except StoreError:
