--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -16,6 +16,6 @@
 from pearloom.maintenance.steps import Step, cancel, mark_returned, next_step
 
 __all__ = [
-    "Fleet", "MachineKind", "Limits", "Machine", "MaintenanceError", "Phase", "Slot", "Step", "Wait", "cancel",
-    "mark_returned", "next_step", "queue", "read_slots", "request_slots", "waits",
+    "Fleet", "Limits", "Machine", "MachineKind", "MaintenanceError", "Phase", "Slot", "Step", "Wait",
+    "cancel", "mark_returned", "next_step", "queue", "read_slots", "request_slots", "waits",
 ]  # fmt: skip
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -22,9 +22,9 @@
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.capacity import load, weighed
 from pearloom.maintenance.order import Fleet, Machine, Wait, waits
+from pearloom.maintenance.outages import zones_in_trouble
 from pearloom.maintenance.records import Held, Limits, MachineKind, Phase, Slots
 from pearloom.maintenance.steps import LocalSoftswitch, Step
-from pearloom.maintenance.trouble import zones_in_trouble
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
 
--- a/pearloom/maintenance/order.py
+++ b/pearloom/maintenance/order.py
@@ -7,7 +7,7 @@
 | the turn asked for first | the others of the same urgency and zone order |
 
 A turn that may not begin (limits, floor) holds up the others of its zone, not those of other zones: otherwise
-one machine that can't be spared would hold up all. None begins while any zone is in trouble (`trouble.py`).
+one machine that can't be spared would hold up all. None begins while any zone is in trouble (`outages.py`).
 An urgent one that may not begin holds up all that are not urgent, since each of them would take the room that
 it waits for.
 """
--- a/tests/maintenance/test_trouble.py
+++ b/tests/maintenance/test_outages.py
@@ -6,8 +6,8 @@
 
 from pearloom.maintenance import records
 from pearloom.maintenance.order import Machine
+from pearloom.maintenance.outages import zones_in_trouble
 from pearloom.maintenance.records import FORMAT, Held, MachineKind, Phase, Slot, Slots
-from pearloom.maintenance.trouble import zones_in_trouble
 
 
 def zone(name: str, ready: int, away: int) -> list[Machine]:
