--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -52,7 +52,7 @@
         self._store = EtcdStore(store)
         self._link = Link(self._store, store, counters, SystemRandom(), steady_ms)
         self._member = MemberHost(
-            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.beat_ms,
+            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.heartbeat_ms,
             lambda: (exchange.decider.limits, exchange.open_calls), steady_ms,
         )  # fmt: skip
         context = LocalContext(config.class_names, config.tenant_names, turns.zone, self._cells())
@@ -69,7 +69,7 @@
         hands = MaintenanceCallbacks(
             drain,
             activate,
-            idle=lambda: not exchange.open_calls + exchange.standing_calls,
+            is_idle=lambda: not exchange.open_calls + exchange.standing_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
             halted=lambda: self._rollout.halted,
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -1,7 +1,7 @@
 """One softswitch's link to the store: keeps what is there at hand, its own lease alive, and tries steps.
 
 Greenlets of its own ask the store; whoever needs something reads `snapshot`, which is as it was last heard.
-What to do when is decided in `pace.py` and `port.py`; this file only waits and calls.
+What to do when is decided in `timing.py` and `port.py`; this file only waits and calls.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination.pace import Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import (
-    Attempt,
     Changes,
     Outcome,
     Snapshot,
     Store,
     StoreError,
+    Transaction,
     applied,
     took_effect,
 )
 from pearloom.coordination.settings import StoreSettings
+from pearloom.coordination.timing import Backoff, Freshness, Hold, LocalLease
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
 
@@ -56,12 +56,12 @@
         self._now_ms = steady_ms
         self._read_pause, self._lease_pause = Backoff(random), Backoff(random)
         self._lease_s = settings.lease_s
-        self.lease = OwnLease(settings.lease_s * 1000.0)
+        self.lease = LocalLease(settings.lease_s * 1000.0)
         self.freshness = Freshness(settings.fresh_ms)
         self.snapshot: Snapshot | None = None
         self.highest: tuple[int, int] = (0, 0)  # cluster and revision: the newest that this process ever read
         self.on_change: list[Callable[[Snapshot], None]] = []
-        self.on_lease: list[
+        self.on_lease_granted: list[
             Callable[[], None]
         ] = []  # a new lease was granted: what hung on the old one is gone
         self._changed = Event()
@@ -81,7 +81,7 @@
             gevent.spawn(self._quietly, lambda: self._store.revoke(number)).join(release_s)
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """May something new be started on what is at hand?"""
         return self.snapshot is not None and self.freshness.fresh(self._now_ms())
 
@@ -186,7 +186,7 @@
                         note(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
-                    for told in self.on_lease:
+                    for told in self.on_lease_granted:
                         told()
                 self._lease_pause.succeeded()
             except StoreError:
@@ -200,7 +200,7 @@
         self._quietly(self._read)
 
     # --- steps ----------------------------------------------------------------------------------------------
-    def attempt(self, attempt: Attempt) -> Outcome:
+    def commit(self, attempt: Transaction) -> Outcome:
         """Try one step. A lost reply is settled by reading back who won."""
         if not self.may_act() and any(write.lease for write in attempt.writes):
             return Outcome.LOST
@@ -212,7 +212,7 @@
             return self._read_back(attempt)
         return Outcome.WON if won else Outcome.LOST
 
-    def _read_back(self, attempt: Attempt) -> Outcome:
+    def _read_back(self, attempt: Transaction) -> Outcome:
         pause = Backoff(Random(0))
         for _ in range(READ_BACK_TRIES):
             try:
--- a/pearloom/fakes/fleet/simulation.py
+++ b/pearloom/fakes/fleet/simulation.py
@@ -9,21 +9,21 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from pearloom.coordination.port import Attempt, Entry, Snapshot
+from pearloom.coordination.port import Entry, Snapshot, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.order import Fleet, Machine
-from pearloom.maintenance.records import FORMAT, Kind, Limits, Phase, Slot
-from pearloom.maintenance.steps import Own
+from pearloom.maintenance.records import FORMAT, Limits, MachineKind, Phase, Slot
+from pearloom.maintenance.steps import LocalSoftswitch
 
 LOOK_MS = 250.0
 
 
-def apply(store: Snapshot, attempt: Attempt) -> Snapshot | None:
+def apply(store: Snapshot, attempt: Transaction) -> Snapshot | None:
     """The store after a transaction, or None where a compare does not hold."""
     held = {entry.key: entry for entry in store.entries}
     for compare in attempt.compares:
         found = held.get(compare.key)
-        if (found.mod if found else 0) != compare.mod:
+        if (found.mod_revision if found else 0) != compare.mod_revision:
             return None
         if compare.value is not None and (found is None or found.value != compare.value):
             return None
@@ -31,7 +31,9 @@
     for write in attempt.writes:
         old = held.pop(write.key, None)
         if write.value is not None:
-            held[write.key] = Entry(write.key, write.value, old.create if old else revision, revision)
+            held[write.key] = Entry(
+                write.key, write.value, old.create_revision if old else revision, revision
+            )
     return Snapshot(store.cluster, revision, tuple(held[key] for key in sorted(held)))
 
 
@@ -50,20 +52,25 @@
     """Take every machine out once, each as soon as its turn comes."""
     random, now = Random(seed), 0.0
     fleet = [
-        Machine(Kind.SERVER, f"s-{at:08x}", f"zone-{at % zones}", incarnation=1) for at in range(machines)
+        Machine(MachineKind.SERVER, f"s-{at:08x}", f"zone-{at % zones}", incarnation=1)
+        for at in range(machines)
     ]
     works = {one.name: random.uniform(*work_ms) for one in fleet}
     asked = [
-        Slot(FORMAT, one.name[2:], Kind.SERVER, one.name, one.zone, "", False, "n1", "", 0) for one in fleet
+        Slot(FORMAT, one.name[2:], MachineKind.SERVER, one.name, one.zone, "", False, "n1", "", 0)
+        for one in fleet
     ]
-    store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
-    queued = apply(store, records.request(records.read_slots(store), asked))
+    store = Snapshot(1, 1, (Entry(records.LIMITS_KEY, records.encode(limits), 1, 1),))
+    queued = apply(store, records.request_slots(records.read_slots(store), asked))
     assert queued is not None, "nobody else writes"
     store, began, seen = queued, dict[str, float](), dict[tuple[str, int], float]()
     most_out, least, writes = 0, machines, 1
     while True:
         slots = records.read_slots(store)
-        seen = {(one.slot.id, one.mod): seen.get((one.slot.id, one.mod), now) for one in slots.slots}
+        seen = {
+            (one.slot.id, one.mod_revision): seen.get((one.slot.id, one.mod_revision), now)
+            for one in slots.slots
+        }
         out = {held.slot.machine for held in slots.slots if held.slot.is_out}
         most_out, least = max(most_out, len(out)), min(least, machines - len(out))
         if all(held.slot.phase is Phase.DONE for held in slots.slots):
@@ -77,11 +84,11 @@
             else one
             for one in fleet
         ]
-        step = steps.next_step(slots, Fleet(tuple(fleet)), Own("n1", 1), seen, now)
+        step = steps.next_step(slots, Fleet(tuple(fleet)), LocalSoftswitch("n1", 1), seen, now)
         if step is None:
             now += LOOK_MS
             continue
-        after = apply(store, step.attempt)
+        after = apply(store, step.transaction)
         assert after is not None, "nobody else writes"
         store, writes = after, writes + 1
     at_once = min(limits.out, limits.out_zone * zones)
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.coordination.values import decode_record
 
-TURNS, GATE, LIMITS = "turns/", "turns-gate", "turns-limits"
+TURNS, GATE, LIMITS_KEY = "turns/", "turns-gate", "turns-limits"
 FORMAT = 1
 MOST_SLOTS = 512  # that the queue holds: a request beyond is refused
 MOST_NAME = 64
@@ -25,7 +25,7 @@
     """A request that can't be taken; the text is one line for the operator."""
 
 
-class Kind(Enum):
+class MachineKind(Enum):
     """What is taken out."""
 
     SOFTSWITCH = "softswitch"
@@ -51,7 +51,7 @@
 
     format: int
     id: str
-    kind: Kind
+    kind: MachineKind
     machine: str
     zone: str
     cell: str
@@ -107,13 +107,13 @@
     """A turn as it is in the store, and the revision and value that the next step compares with."""
 
     slot: Slot
-    mod: int
+    mod_revision: int
     value: bytes
 
     @property
     def compare(self) -> Compare:
         """It is still what was read."""
-        return Compare(self.slot.key, self.mod, self.value)
+        return Compare(self.slot.key, self.mod_revision, self.value)
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
     @property
     def limits_compare(self) -> Compare:
         """The limits are those that were read."""
-        return Compare(LIMITS, self.limits_mod, self.limits_value)
+        return Compare(LIMITS_KEY, self.limits_mod, self.limits_value)
 
     def find(self, slot: str) -> Held | None:
         """The turn of this id."""
@@ -147,22 +147,22 @@
 def read_slots(snapshot: Snapshot) -> Slots:
     """Read all; what can't be read is named, and no turn is granted while there is any of it."""
     slots, unreadable = [], []
-    for entry in snapshot.below(TURNS):
-        slot = decoded(entry.value, Slot, FORMAT)
+    for entry in snapshot.with_prefix(TURNS):
+        slot = decode_record(entry.value, Slot, FORMAT)
         if slot is None or slot.key != entry.key:
             unreadable.append(entry.key)
         else:
-            slots.append(Held(slot, entry.mod, entry.value))
-    gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS)
-    gate = decoded(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
-    limits = decoded(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
-    unreadable += [key for key, found in ((GATE, gate), (LIMITS, limits)) if found is None]
+            slots.append(Held(slot, entry.mod_revision, entry.value))
+    gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS_KEY)
+    gate = decode_record(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
+    limits = decode_record(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
+    unreadable += [key for key, found in ((GATE, gate), (LIMITS_KEY, limits)) if found is None]
     return Slots(
         tuple(slots),
         gate or Gate(),
-        gate_entry.mod if gate_entry else 0,
+        gate_entry.mod_revision if gate_entry else 0,
         limits or Limits(out=0),
-        limits_entry.mod if limits_entry else 0,
+        limits_entry.mod_revision if limits_entry else 0,
         gate_entry.value if gate_entry else None,
         limits_entry.value if limits_entry else None,
         tuple(unreadable),
@@ -180,7 +180,7 @@
     return held.compare, Write(held.slot.key, encode(slot))
 
 
-def request(there: Slots, asked: list[Slot]) -> Attempt:
+def request_slots(there: Slots, asked: list[Slot]) -> Transaction:
     """Put these into the queue, in this order; a TurnError says what is wrong with them.
 
     The gate gives each its number, so that two operators at two softswitches get one order."""
@@ -204,11 +204,11 @@
             raise MaintenanceError(f"a machine's name has 1 to {MOST_NAME} signs")
         compares.append(Compare(slot.key, 0))
         writes.append(Write(slot.key, encode(msgspec.structs.replace(slot, number=number))))
-    return Attempt(tuple(compares), tuple(writes))
+    return Transaction(tuple(compares), tuple(writes))
 
 
-def adopt(there: Slots, own: Limits) -> Attempt | None:
+def adopt(there: Slots, own: Limits) -> Transaction | None:
     """Put the own file's limits into the store, if they are of a higher edition than what is there."""
-    if there.limits_mod and own.edition <= there.limits.edition or LIMITS in there.unreadable:
+    if there.limits_mod and own.edition <= there.limits.edition or LIMITS_KEY in there.unreadable:
         return None
-    return Attempt((there.limits_compare,), (Write(LIMITS, encode(own)),))
+    return Transaction((there.limits_compare,), (Write(LIMITS_KEY, encode(own)),))
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.coordination.values import decode_record
 
 CONFIRMED = "rules/at/"
 FORMAT = 1
@@ -42,20 +42,20 @@
 def confirmations(snapshot: Snapshot) -> dict[str, Confirmation]:
     """By softswitch; what can't be read is not there."""
     found: dict[str, Confirmation] = {}
-    for entry in snapshot.below(CONFIRMED):
-        one = decoded(entry.value, Confirmation, FORMAT)
+    for entry in snapshot.with_prefix(CONFIRMED):
+        one = decode_record(entry.value, Confirmation, FORMAT)
         if one is not None and len(one.why) <= MOST_WHY:
             found[entry.key.removeprefix(CONFIRMED)] = one
     return found
 
 
-def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Attempt | None:
+def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Transaction | None:
     """Say it; None where it stands there already."""
     entry, value = snapshot.find(CONFIRMED + name), msgspec.json.encode(said)
     if entry is not None and entry.value == value:
         return None
-    compare = Compare(CONFIRMED + name, entry.mod if entry is not None else 0)
-    return Attempt((compare,), (Write(CONFIRMED + name, value),))
+    compare = Compare(CONFIRMED + name, entry.mod_revision if entry is not None else 0)
+    return Transaction((compare,), (Write(CONFIRMED + name, value),))
 
 
 def followed(
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -14,8 +14,8 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination import Attempt, Compare, Link, Outcome, Snapshot, Write
-from pearloom.coordination.pace import patience_ms, rank
+from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
+from pearloom.coordination.timing import contention_delay_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
 from pearloom.core.logs import crashed, note
@@ -123,7 +123,7 @@
             self._why_left[: confirm.MOST_WHY],
         )  # fmt: skip
         attempt = confirm.confirm(snapshot, self._member.name, said) if snapshot is not None else None
-        if snapshot is None or (attempt is not None and self._link.attempt(attempt) is not Outcome.WON):
+        if snapshot is None or (attempt is not None and self._link.commit(attempt) is not Outcome.WON):
             self._link.read_again()
             self._confirms.set()
 
@@ -143,7 +143,7 @@
         entry = snapshot.find(key)
         old = _outdated(snapshot, name, life, value.stage)
         writes = (Write(key, evidence.encode(value)), *(Write(gone, None) for gone in old))
-        outcome = self._link.attempt(Attempt((Compare(key, entry.mod if entry else 0),), writes))
+        outcome = self._link.commit(Transaction((Compare(key, entry.mod_revision if entry else 0),), writes))
         if outcome is Outcome.WON:
             self._told += 1
         elif outcome is Outcome.LOST:
@@ -162,7 +162,7 @@
             return
         self._guard(head, rollout)
         self._listen(rollout, now)
-        if not self._link.fresh:
+        if not self._link.is_fresh:
             return
         self._tell(rollout, now)
         if now - self._looked_ms < rollout.terms.look_ms * min(1 + self._rank(rollout), MOST_LOOKS):
@@ -178,19 +178,19 @@
 
     def _rank(self, rollout: Rollout) -> int:
         """How many others judge more often than this one does; another order in each stage."""
-        acting = [one.name for one in self._member.view.acting]
+        acting = [one.name for one in self._member.view.live_members]
         return rank(f"{rollout.id} {rollout.stage}", self._member.name, acting)
 
     def _is_time(self, step: steps.RolloutStep, rollout: Rollout, now: float) -> bool:
         key = f"{rollout.id} {rollout.stage} {step.did.value}"
         if self._tried[0] != key:
             self._tried = (key, now)
-        acting = [one.name for one in self._member.view.acting]
-        return now - self._tried[1] >= patience_ms(key, self._member.name, acting)
+        acting = [one.name for one in self._member.view.live_members]
+        return now - self._tried[1] >= contention_delay_ms(key, self._member.name, acting)
 
     def _try(self, step: steps.RolloutStep) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
-        outcome = self._link.attempt(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.attempt) if self._link.may_act() else Outcome.LOST
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             halted = step.did is Operation.HALTED
@@ -202,7 +202,7 @@
         if snapshot is None or now - self._listened_ms < LISTEN_MS:
             return
         self._listened_ms = now
-        if not self._link.fresh:
+        if not self._link.is_fresh:
             self._blind_ms = now
             return
         told, _ = evidence.told(snapshot, self._tally.stage)
@@ -228,13 +228,13 @@
         }
         return steps.Seen(
             self._now_ms(), self._began_ms, heard, told,
-            confirm.confirmations(snapshot), {one.name: one.zone for one in self._member.view.acting},
-            self._link.fresh, self._away_ms,
+            confirm.confirmations(snapshot), {one.name: one.zone for one in self._member.view.live_members},
+            self._link.is_fresh, self._away_ms,
         )  # fmt: skip
 
     def _guard(self, head: Head, rollout: Rollout) -> None:
         """Cut off under a new version, and worse than before by its own figures: go back."""
-        if self._link.fresh or self._rules.left or self._rules.version != rollout.version:
+        if self._link.is_fresh or self._rules.left or self._rules.version != rollout.version:
             return
         terms = rollout.terms
         why = self._own.regressed(rollout.version, head.version, terms.tolerance, terms.rate)
@@ -249,7 +249,7 @@
         """Who goes by the head already."""
         view, snapshot = self._member.view, self._link.snapshot
         said = confirm.confirmations(snapshot) if snapshot is not None else {}
-        live = {one.name: one.incarnation for one in view.acting}
+        live = {one.name: one.incarnation for one in view.live_members}
         return confirm.followed(there.head.number, live, view.missing, said)
 
     def confirmations(self) -> dict[str, Confirmation]:
@@ -267,11 +267,13 @@
 
 def _outdated(snapshot: Snapshot, name: str, life: int, stage: int) -> list[str]:
     """Own keys of former lives that no stage will read again, and the oldest where there are too many."""
-    mine = snapshot.below(f"{evidence.EVIDENCE}{name}/")
+    mine = snapshot.with_prefix(f"{evidence.EVIDENCE}{name}/")
     former = [entry for entry in mine if entry.key != evidence.key_of(name, life)]
     kept = [
         entry for entry in former
         if (one := evidence.decode(entry.value)) is not None and one.stage == stage
     ]  # fmt: skip
     gone = [entry.key for entry in former if entry not in kept]
-    return (gone + [entry.key for entry in sorted(kept, key=lambda one: one.mod)[: -evidence.KEPT_LIVES]])[:8]
+    return (
+        gone + [entry.key for entry in sorted(kept, key=lambda one: one.mod_revision)[: -evidence.KEPT_LIVES]]
+    )[:8]
