--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -43,7 +43,7 @@
 class Finding:
     """One bad end of one class, compared. `log_evidence`: natural logarithm; 0 says nothing."""
 
-    kind: str
+    class_name: str
     end: End
     bad_new: int
     new: int
@@ -53,16 +53,16 @@
     log_evidence: float
     strata: tuple[Stratum, ...]
 
-    def ratio(self, rate: float) -> tuple[float, float]:
+    def ratio_bounds(self, rate: float) -> tuple[float, float]:
         """Between which the ratio of rates lies, new to old; costs some ms, so it is asked for when shown."""
         return bounds(self.strata, rate, self.dispersion)
 
-    def told(self, rate: float) -> str:
+    def describe(self, rate: float) -> str:
         """For the log and the operator."""
-        low, high = self.ratio(rate)
+        low, high = self.ratio_bounds(rate)
         return (
-            f"{self.end.value} of class {self.kind}: {self.bad_new} of {self.new} new, {self.bad_old} of"
-            f" {self.old} old, ratio from {low:.2f} to {high:.2f}"
+            f"{self.end.value} of class {self.class_name}: {self.bad_new} of {self.new} new, {self.bad_old}"
+            f" of {self.old} old, ratio from {low:.2f} to {high:.2f}"
         )
 
 
@@ -78,7 +78,7 @@
     log_mean: float = 0.0
     calls_new: int = 0
 
-    def regressed(self, rate: float) -> bool:
+    def has_regressed(self, rate: float) -> bool:
         """Is it shown, at this rate of false alarms?"""
         return self.log_mean >= -log(rate)
 
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -13,7 +13,7 @@
 from pearloom.core.ends import End
 from pearloom.rollout import confirm, stages, steps
 from pearloom.rollout.confirm import Confirmation
-from pearloom.rollout.evidence import Evidence, Tally, stage_mark
+from pearloom.rollout.evidence import Evidence, Tally, stage_id
 from pearloom.rollout.guard import HALVED_AT, LocalGuard
 from pearloom.rollout.steps import Seen, next_step, nobody_wrote
 from pearloom.rules.head import Head, HeadState, Operation, Request, Rollout, Terms
@@ -30,9 +30,9 @@
 
 
 def told(name: str, version: str, ends: list[End], stage: int = 0, broken: int = 0) -> Told:
-    tally = Tally(("a",), stage_mark(4, stage), 0.0, 2_000.0)
+    tally = Tally(("a",), stage_id(4, stage), 0.0, 2_000.0)
     for at, end in enumerate(ends):
-        tally.ended(version, tally.mark(200.0 * at), 0, end, 10.0, 200.0 * at)
+        tally.record_end(version, tally.arrival_mark(200.0 * at), 0, end, 10.0, 200.0 * at)
     return {(name, 1): tally.evidence(1, 1, ZONES[name], broken, 12_000.0)}
 
 
@@ -125,10 +125,10 @@
 
 
 def test_the_store_bears_the_same_number_of_values_whatever_the_fleet() -> None:
-    assert stages.tell_ms(1_000.0, 16) == 1_000.0
+    assert stages.publish_interval_ms(1_000.0, 16) == 1_000.0
     for fleet in (200, 1_000):
-        assert fleet / stages.tell_ms(1_000.0, fleet) * 1_000.0 <= 50.0
-        assert stages.silent_ms(5_000.0, 1_000.0, fleet) >= 4 * stages.tell_ms(1_000.0, fleet)
+        assert fleet / stages.publish_interval_ms(1_000.0, fleet) * 1_000.0 <= 50.0
+        assert stages.silent_ms(5_000.0, 1_000.0, fleet) >= 4 * stages.publish_interval_ms(1_000.0, fleet)
 
 
 # --- confirmations ------------------------------------------------------------------------------------------
@@ -139,8 +139,8 @@
         "n3": Confirmation(1, 1, 4, OLD),
     }
     found = confirm.followed(5, {"n1": 7, "n2": 8}, ("n3", "n4"), said)
-    assert found.waits == ("n2",) and found.away == ("n3", "n4") and not found.done
-    assert confirm.followed(5, {"n1": 7}, (), said).done
+    assert found.pending == ("n2",) and found.absent == ("n3", "n4") and not found.is_complete
+    assert confirm.followed(5, {"n1": 7}, (), said).is_complete
 
 
 def test_what_is_said_already_is_not_written_again_and_what_is_spoilt_counts_as_nothing() -> None:
