--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -23,7 +23,7 @@
 from pearloom.core.config import Config, ConfigError, read_config
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import configure, note
+from pearloom.core.logs import configure, log_event
 from pearloom.core.sides import CallerSide
 from pearloom.servers.coordinator import Coordinator, cached
 from pearloom.servers.directory import SIP, Directory, Maker
@@ -138,7 +138,7 @@
             gevent.sleep(TICK_S)
             late_ms = self._clock.now_ms() - looked
             if late_ms > LATE_MS:
-                note(logging.WARNING, "late", by_ms=late_ms)
+                log_event(logging.WARNING, "late", by_ms=late_ms)
             if late_ms > READ_FIRST_MS:
                 # Guards against timers that act before what came meanwhile is read: closes of callers, the
                 # pool list, answers.
@@ -154,14 +154,14 @@
 
     def drain(self) -> Answer:
         """Empty this softswitch; harmless at any time."""
-        note(logging.INFO, "draining", open_calls=self.exchange.open_calls)
+        log_event(logging.INFO, "draining", open_calls=self.exchange.open_calls)
         self.callers.drain()
         self.handover.drain(True)
         return Answer(HTTPStatus.OK, "draining\n")
 
     def activate(self) -> Answer:
         """End the drain; harmless at any time."""
-        note(logging.INFO, "active")
+        log_event(logging.INFO, "active")
         self.callers.activate()
         self.handover.drain(False)
         return Answer(HTTPStatus.OK, "active\n")
@@ -177,10 +177,10 @@
         try:
             config = read_config(environment)
         except ConfigError as trouble:
-            note(logging.ERROR, "reload_failed", reason=str(trouble))
+            log_event(logging.ERROR, "reload_failed", reason=str(trouble))
             return
         host, port = config.coordinator
-        note(logging.INFO, "reloaded", coordinator=f"{host}:{port}")
+        log_event(logging.INFO, "reloaded", coordinator=f"{host}:{port}")
         for update in config.known:
             self.coordinator.take(update)
         self.coordinator.move(config.coordinator)
@@ -253,12 +253,12 @@
     gevent.signal_handler(signal.SIGHUP, softswitch.reload, os.environ)
     gc.freeze()
     gc.set_threshold(GC_YOUNG)
-    note(logging.INFO, "started", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
+    log_event(logging.INFO, "started", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     stop.wait()
-    note(logging.INFO, "stopping")
+    log_event(logging.INFO, "stopping")
     softswitch.stop()
     softswitch.print_counters()
-    note(logging.INFO, "stopped")
+    log_event(logging.INFO, "stopped")
     return 0
 
 
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -25,7 +25,7 @@
 from pearloom.core.config import Config, ListUpdate, Server
 from pearloom.core.connection import accepted
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 from pearloom.interface import PoolEntry, PoolState
 from pearloom.servers.coordinator import Coordinator
 from pearloom.servers.directory import Directory
@@ -124,7 +124,7 @@
         pass  # nobody serves this address, or the one that did is gone: a plain start
     except (OSError, ValueError, KeyError, TypeError) as trouble:
         # Guards against a file that an earlier process left, and an elder that hangs or speaks otherwise.
-        note(logging.WARNING, "handover_unanswered", reason=str(trouble) or type(trouble).__name__)
+        log_event(logging.WARNING, "handover_unanswered", reason=str(trouble) or type(trouble).__name__)
     sock.close()
     return None
 
@@ -180,7 +180,7 @@
             path.chmod(0o600)
             listener.listen(4)
         except OSError as trouble:
-            note(logging.WARNING, "handover_unavailable", reason=str(trouble))
+            log_event(logging.WARNING, "handover_unavailable", reason=str(trouble))
             listener.close()
         else:
             self._accepting = gevent.spawn(self._accept, listener)
@@ -253,19 +253,19 @@
             line = encode(first)
             plain_socket.send_fds(sock, [line[:1]], [listener.fileno()])
             sock.sendall(line[1:])
-            note(logging.INFO, "handover_begun", standing_calls=self._exchange.standing_calls)
+            log_event(logging.INFO, "handover_begun", standing_calls=self._exchange.standing_calls)
             gevent.spawn(self._tell, other, self._changes())
             while (message := other.channel.hear()) is not None:
                 self._heard_from_younger(other, message)
         except (OSError, ValueError, KeyError) as trouble:
-            note(logging.WARNING, "handover_broke", reason=str(trouble))
+            log_event(logging.WARNING, "handover_broke", reason=str(trouble))
         except Exception:
             crashed("handover_failed")
         self._younger = None
         sock.close()
         if self._callers.yielded and not self._callers.stopping:
             # Guards against a younger process that dies: this one serves on.
-            note(logging.WARNING, "handover_undone")
+            log_event(logging.WARNING, "handover_undone")
             self._callers.resume()
             if self._path is not None:
                 self.listen(self._path)
@@ -276,7 +276,7 @@
                 self._callers.yield_()
                 self._unlisten()
                 other.to_say.append({"say": "yielded"})
-                note(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
+                log_event(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
             case "over":
                 for call in message["calls"]:
                     self._exchange.drop(call)
@@ -316,7 +316,7 @@
             while (message := other.channel.hear()) is not None:
                 self._heard_from_elder(message)
         except (OSError, ValueError, KeyError) as trouble:
-            note(logging.WARNING, "handover_broke", reason=str(trouble))
+            log_event(logging.WARNING, "handover_broke", reason=str(trouble))
         except Exception:
             crashed("handover_failed")
         self._elder = None
@@ -324,7 +324,7 @@
         self._callers.held_elsewhere = 0
         self._exchange.open_elsewhere = set()
         self._accepts_here.set()
-        note(logging.INFO, "elder_gone", inherited=len(self._inherited))
+        log_event(logging.INFO, "elder_gone", inherited=len(self._inherited))
         # Guards against a release that a session server wrote to a connection which ended with the elder: it
         # sends it again on the next one that is opened.
         self._servers.dial_all()
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -19,7 +19,7 @@
 from pearloom.core.connection import accepted
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
 from pearloom.core.sides import Caller, Offer
 
@@ -211,7 +211,7 @@
                 self.counters.add("caller_connections_closed")
                 caller.connection.close("too many connections")
         if not closed:
-            note(logging.WARNING, "caller_connections_full", most=self.most)
+            log_event(logging.WARNING, "caller_connections_full", most=self.most)
         return closed > 0
 
     def _watch(self) -> None:
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -14,7 +14,7 @@
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.sides import Media
 
 if TYPE_CHECKING:
@@ -173,7 +173,7 @@
 
     def _malformed(self, message: Malformed) -> Exchange:
         self._side.counters.add("malformed_from_callers")
-        note(
+        log_event(
             logging.WARNING,
             "caller_malformed",
             reason=message.reason,
@@ -211,7 +211,7 @@
                 pass
             case _:
                 self._side.counters.add("malformed_from_callers")
-                note(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
+                log_event(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
                 if not self._side.exchange.is_open(message.call):
                     self._send_release(message.call, Cause.UNKNOWN_TYPE)
 
@@ -225,7 +225,7 @@
         if exchange.is_open(message.call) or exchange.is_over(message.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._side.counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_duplicate", call=message.call)
+            log_event(logging.WARNING, "caller_duplicate", call=message.call)
             if message.call in self.open:
                 # Neither of the two can be told from the other: none may be served.
                 exchange.spoil(message.call)
@@ -234,7 +234,7 @@
             return
         offer = self._side.read_offer(message)
         if offer is None:
-            note(logging.WARNING, "caller_bad_set_up", call=message.call)
+            log_event(logging.WARNING, "caller_bad_set_up", call=message.call)
             self._side.counters.add("bad_set_ups")
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
@@ -257,7 +257,7 @@
 
     def _closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
         if self.open or unsent:
-            note(logging.INFO, "caller_closed", reason=reason, open=len(self.open), unsent=len(unsent))
+            log_event(logging.INFO, "caller_closed", reason=reason, open=len(self.open), unsent=len(unsent))
         self._side.forget(self)
         for call in list(self.open):
             self._side.exchange.left(call, Cause.NORMAL)
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -28,7 +28,7 @@
 )
 from pearloom.coordination.settings import StoreSettings
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 
 KEEP_LOOK_S = 0.05
 READ_BACK_TRIES = 3  # after a lost reply, before the outcome counts as unknown
@@ -126,7 +126,7 @@
             return True  # a read of another greenlet had it already
         found = applied(self.snapshot, changes)
         if found is None:
-            note(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
+            log_event(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
             return False
         self._take(found, now, self.highest)
         return True
@@ -139,7 +139,7 @@
         if (found.cluster, found.revision) < (cluster, revision) or (cluster and found.cluster != cluster):
             # Guards against a store that came back without its last writes and is obeyed silently.
             self._counters.add("store_diverged")
-            note(
+            log_event(
                 logging.ERROR, "store_diverged", cluster=cluster, seen=revision, told_cluster=found.cluster,
                 told=found.revision,
             )  # fmt: skip
@@ -162,9 +162,9 @@
             return
         if not up:
             self._counters.add("store_lost")
-            note(logging.WARNING, "store_lost", reason=reason)
+            log_event(logging.WARNING, "store_lost", reason=reason)
         elif not self._up:
-            note(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
+            log_event(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
         self._up = up
 
     # --- the own lease --------------------------------------------------------------------------------------
@@ -183,7 +183,7 @@
                 else:
                     if self.lease.number:
                         self._counters.add("store_lease_ended")
-                        note(logging.WARNING, "store_lease_ended")
+                        log_event(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
                     for told in self.on_lease:
@@ -208,7 +208,7 @@
         try:
             won = self._store.attempt(attempt, self.lease.number)
         except StoreError as trouble:
-            note(logging.WARNING, "store_reply_lost", reason=str(trouble))
+            log_event(logging.WARNING, "store_reply_lost", reason=str(trouble))
             return self._read_back(attempt)
         return Outcome.WON if won else Outcome.LOST
 
--- a/pearloom/core/account.py
+++ b/pearloom/core/account.py
@@ -10,7 +10,7 @@
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.ends import End
 from pearloom.core.errors import AttemptError
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.routing import CallRoute, Router
 from pearloom.core.sides import Call, Offer
 from pearloom.interface import Ending
@@ -57,7 +57,7 @@
         late = took_ms * 1000.0 > self._aims_us[call.offer.kind]
         if late:
             self.counters.add("answers_late")
-            note(
+            log_event(
                 logging.INFO, "answer_late", call=call.offer.call, server=call.server,
                 attempts=call.attempts, ms=took_ms, last_attempt_ms=now - call.sent_ms,
                 first_choice=call.offer.first_choice,
--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from pearloom.core.errors import Progress
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 
 READ_BYTES = 64 * 1024
 MOST_QUEUED = 128 * 1024  # bytes: what a reader may be behind; 400 such connections still fit the memory
@@ -232,7 +232,7 @@
         try:
             sock, _ = listener.accept()
         except OSError as trouble:
-            note(logging.ERROR, "accept_failed", errno=trouble.errno, at=at)
+            log_event(logging.ERROR, "accept_failed", errno=trouble.errno, at=at)
             gevent.sleep(0.05)
         else:
             yield sock
--- a/pearloom/core/counters.py
+++ b/pearloom/core/counters.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 
 
 class Counters:
@@ -26,7 +26,7 @@
 
     def print(self, **gauges: int) -> None:
         """Log all counts, sorted by name, and the gauges of the moment."""
-        note(logging.INFO, "counters", **dict(sorted(self._counts.items())), **gauges)
+        log_event(logging.INFO, "counters", **dict(sorted(self._counts.items())), **gauges)
 
 
 class Figures:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -18,7 +18,7 @@
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.decider import Decider, arrival
 from pearloom.core.errors import AttemptError, Progress
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.remembered import Remembered
 from pearloom.core.sides import Call, Caller, CallerSide, Media, NullCaller, Offer, ServerSide, SetUp
 from pearloom.core.standing import Standing
@@ -287,7 +287,7 @@
         cut = [call for call in self._standing.at(server).values() if call.stood_ms < before_ms]
         if not cut:
             return
-        note(logging.WARNING, "server_lost", server=server, reason=reason, calls_cut=len(cut))
+        log_event(logging.WARNING, "server_lost", server=server, reason=reason, calls_cut=len(cut))
         for call in cut:
             self._counters.add("cut_with_server")
             self._callers.release(call.offer.call, CAUSE_CUT, call.caller)
@@ -331,10 +331,10 @@
                 if call is not None:
                     self._give_up(call, Ending.CANCELLED, attempt)
             case api.Note(text):
-                note(logging.INFO, "decision_note", text=text)
+                log_event(logging.INFO, "decision_note", text=text)
             case _:
                 # Probes, messages to peers and list requests have no place on this network.
-                note(logging.WARNING, "action_skipped", action=type(action).__name__)
+                log_event(logging.WARNING, "action_skipped", action=type(action).__name__)
 
     def _send(self, name: str, server: str, timeout_us: int) -> None:
         call = self._calls[name]
--- a/pearloom/core/logs.py
+++ b/pearloom/core/logs.py
@@ -59,7 +59,7 @@
     return '"' + text.translate(_ESCAPES) + '"'
 
 
-def note(level: int, event: str, **pairs: object) -> None:
+def log_event(level: int, event: str, **pairs: object) -> None:
     """Log one event with its pairs."""
     log.log(level, event, extra={"pairs": pairs})
 
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -12,7 +12,7 @@
 from pearloom.core.counters import Counters
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
 from pearloom.core.sides import Caller, CallerSide, Media, Offer
 from pearloom.iax2 import tokens
@@ -127,7 +127,7 @@
 
     def _malformed(self, reason: str) -> None:
         self._counters.add("malformed_from_callers")
-        note(logging.WARNING, "caller_malformed", reason=reason, call="", closed=False)
+        log_event(logging.WARNING, "caller_malformed", reason=reason, call="", closed=False)
 
     def _feed(self, leg: CallerLeg, frame: Full | Mini) -> None:
         now = self._now_ms()
@@ -195,7 +195,7 @@
         if number is None:
             why = "unknown user" if secret is None else turned.value if turned else "call numbers"
             self._counters.add("iax2_turned_away")
-            note(logging.INFO, "iax2_turned_away", reason=why, source=source[0])
+            log_event(logging.INFO, "iax2_turned_away", reason=why, source=source[0])
             cause = CAUSE_REJECTED if secret is None else CAUSE_CONGESTION
             pairs = [(Element.CAUSECODE, bytes((cause,)))]
             if secret is not None:
@@ -229,7 +229,7 @@
             case HungUp(cause):
                 self._left(leg, cause)
             case Gone(reason):
-                note(logging.INFO, "iax2_caller_gone", reason=reason)
+                log_event(logging.INFO, "iax2_caller_gone", reason=reason)
                 self._left(leg, CAUSE_TEMPORARY_FAILURE)
             case Heard(media) if leg.offer is not None:
                 self._counters.add("media_from_callers")
@@ -242,7 +242,7 @@
         offer = read_offer(elements, self._rules, self._settings.default_class, secrets.token_hex(8))
         if isinstance(offer, str):
             self._counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_bad_set_up", call="", reason=offer)
+            log_event(logging.WARNING, "caller_bad_set_up", call="", reason=offer)
             self.turned_away(leg, CAUSE_INVALID, offer, 0.0)
             return
         # Guards against an answer after the give-up: the caller has waited since its first NEW.
@@ -252,7 +252,7 @@
         elif exchange.is_open(offer.call) or exchange.is_over(offer.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_duplicate", call=offer.call)
+            log_event(logging.WARNING, "caller_duplicate", call=offer.call)
             self.turned_away(leg, CAUSE_INVALID, "an id that was used before", 0.0)
         elif offer.call in exchange.open_elsewhere:
             self._counters.add("open_elsewhere")
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -8,7 +8,7 @@
 from pearloom.core.config import Server
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.sides import Media, SetUp
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
@@ -99,7 +99,7 @@
         if number is None:
             # Guards against a number whose old leg may still be talking; unreachable, so that others are
             # tried.
-            note(logging.WARNING, "iax2_numbers_out", server=self.name)
+            log_event(logging.WARNING, "iax2_numbers_out", server=self.name)
             self._attempt_ended(set_up, AttemptError(Progress.CONNECTING, "no call number"))
             return
         placed = _Placed(set_up)
@@ -203,7 +203,7 @@
         """The machine says that no process listens: what stood there is cut; set-ups are in doubt."""
         if not len(self._legs):
             return
-        note(logging.INFO, "iax2_refused", server=self.name)
+        log_event(logging.INFO, "iax2_refused", server=self.name)
         self._lost("refused")
         for leg in self._legs.all():
             self._legs.flush(leg, leg.fail(End.UNREACHABLE, self.now_ms))
@@ -213,7 +213,9 @@
         frames = decode(data)
         if isinstance(frames, Malformed):
             self._side.counters.add("malformed_from_servers")
-            note(logging.WARNING, "server_malformed", server=self.name, reason=frames.reason, closed=False)
+            log_event(
+                logging.WARNING, "server_malformed", server=self.name, reason=frames.reason, closed=False
+            )
             return
         now = self.now_ms
         for frame in frames:
@@ -257,7 +259,9 @@
             case Failed(stage, end, reason):
                 if end is End.SPOILT:
                     self._side.counters.add("malformed_from_servers")
-                    note(logging.WARNING, "server_malformed", server=self.name, reason=reason, closed=True)
+                    log_event(
+                        logging.WARNING, "server_malformed", server=self.name, reason=reason, closed=True
+                    )
                 ending = proves(stage, end)
                 self._ended(leg, AttemptError(Progress.SENT, f"{end.name.lower()} {reason}".strip(), ending))
             case HungUp(cause):
@@ -268,7 +272,7 @@
                 self._liveness.over(leg.source)
                 self._liveness.doubted(self.now_ms)
                 self._by_call.pop(call, None)
-                note(logging.INFO, "iax2_leg_gone", server=self.name, call=call, reason=reason)
+                log_event(logging.INFO, "iax2_leg_gone", server=self.name, call=call, reason=reason)
                 self._exchange.released(self.name, call, CAUSE_CUT)
             case Heard(media):
                 self._side.counters.add("media_from_servers")
@@ -295,7 +299,9 @@
         if description is None and offer.description:
             # Guards against an answer that says nothing of where the call is.
             self._side.counters.add("malformed_from_servers")
-            note(logging.WARNING, "server_malformed", server=self.name, reason="no description", closed=True)
+            log_event(
+                logging.WARNING, "server_malformed", server=self.name, reason="no description", closed=True
+            )
             self._ended(leg, AttemptError(Progress.ANSWERED, "no description", Ending.ERROR))
             self._close(leg)
             return
@@ -314,6 +320,8 @@
                 report = read_report(figures)
             except ValueError:
                 self._side.counters.add("malformed_from_servers")
-                note(logging.WARNING, "server_malformed", server=self.name, reason="circuits", closed=False)
+                log_event(
+                    logging.WARNING, "server_malformed", server=self.name, reason="circuits", closed=False
+                )
             else:
                 self._exchange.reported(self.name, report)
--- a/pearloom/iax2/udp.py
+++ b/pearloom/iax2/udp.py
@@ -10,7 +10,7 @@
 import gevent
 
 from pearloom.core.config import Address
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 
 RECEIVE_BYTES = 4 * 1024 * 1024  # asked of the system, which may give less: what waits for its turn
 DATAGRAM = 64 * 1024
@@ -70,7 +70,7 @@
             gevent.spawn(self._on_refused)
         except OSError as trouble:
             if trouble.errno not in _LATER:
-                note(logging.WARNING, "iax2_send_failed", errno=trouble.errno)
+                log_event(logging.WARNING, "iax2_send_failed", errno=trouble.errno)
 
     def _read(self, sock: socket.socket) -> None:
         hub = gevent.get_hub()
@@ -87,7 +87,7 @@
                 except ConnectionRefusedError:
                     self._guarded(self._on_refused)
                 except OSError as trouble:
-                    note(logging.WARNING, "iax2_receive_failed", errno=trouble.errno)
+                    log_event(logging.WARNING, "iax2_receive_failed", errno=trouble.errno)
                     gevent.sleep(0.01)
                 except Exception:
                     crashed("iax2_failed")
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -20,7 +20,7 @@
 from pearloom.core.config import Config, ConfigError
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
 from pearloom.core.sides import CallerSide
 from pearloom.iax2.listener import Front, Fronts
@@ -154,13 +154,13 @@
         try:
             self._listen(self.front)
         except OSError as trouble:
-            note(logging.WARNING, "iax2_listen_waits", reason=str(trouble))
+            log_event(logging.WARNING, "iax2_listen_waits", reason=str(trouble))
             gevent.spawn(self._listen_later, self.front)
 
     def _listen(self, front: Front) -> None:
         assert self.iax2.listen is not None
         host, port = front.listen(self.iax2.listen)
-        note(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
+        log_event(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
 
     def _listen_later(self, front: Front) -> None:
         for _ in range(int(LISTEN_FOR_S / LISTEN_AGAIN_S)):
@@ -170,7 +170,7 @@
                 return
             except OSError:
                 continue
-        note(logging.ERROR, "iax2_listen_failed")
+        log_event(logging.ERROR, "iax2_listen_failed")
 
     def finish(self) -> None:
         """This process is about to end."""
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -17,7 +17,7 @@
 from pearloom.coordination.pace import patience_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 from pearloom.interface import PoolState
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.capacity import load, weighed
@@ -132,7 +132,7 @@
         )  # fmt: skip
         if drains != self._drains:
             self._drains = drains
-            note(logging.INFO, "maintenance_drains" if drains else "maintenance_over", softswitch=me)
+            log_event(logging.INFO, "maintenance_drains" if drains else "maintenance_over", softswitch=me)
             (self._hands.drain if drains else self._hands.activate)()
 
     def _run(self) -> None:
@@ -177,4 +177,4 @@
         self._counters.add(f"maintenance_steps_{outcome.value}")
         if outcome is Outcome.WON:
             to = step.to.value if step.to else "deleted"
-            note(logging.INFO, "maintenance", slot=step.slot, machine=step.machine, to=to, why=step.why)
+            log_event(logging.INFO, "maintenance", slot=step.slot, machine=step.machine, to=to, why=step.why)
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -12,7 +12,7 @@
 
 from pearloom.coordination import Link, Outcome, Snapshot
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 from pearloom.membership.view import (
     FORMAT,
     MemberFacts,
@@ -72,7 +72,7 @@
         for member in self.view.members:
             if known.get(member.name) is not member.condition:
                 self._counters.add(f"member_{member.condition.value}")
-                note(
+                log_event(
                     logging.INFO if member.acts else logging.WARNING, "member", member=member.name,
                     condition=member.condition.value, incarnation=member.incarnation, zone=member.zone,
                 )  # fmt: skip
@@ -96,7 +96,7 @@
             return False
         if doubled(snapshot, self.name, self.incarnation):
             self._counters.add("member_doubled")
-            note(logging.ERROR, "member_doubled", member=self.name, incarnation=self.incarnation)
+            log_event(logging.ERROR, "member_doubled", member=self.name, incarnation=self.incarnation)
             return True
         self._facts = next_facts(self._facts, *self._load())
         outcome = self._link.attempt(join(snapshot, self.name, self._facts))
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -18,7 +18,7 @@
 from pearloom.coordination.pace import patience_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, Followed
@@ -194,7 +194,7 @@
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             halted = step.did is Operation.HALTED
-            note(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
+            log_event(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
 
     def _listen(self, rollout: Rollout, now: float) -> None:
         """Who told something new, and whether anybody could."""
@@ -240,7 +240,7 @@
         why = self._own.regressed(rollout.version, head.version, terms.tolerance, terms.rate)
         if why:
             self._counters.add("rules_left")
-            note(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
+            log_event(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
             self._why_left = why
             self._rules.leave(rollout.id)
 
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -16,7 +16,7 @@
 from pearloom.coordination import Link, Snapshot
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.routing import CallRoute
 from pearloom.core.sides import Offer
 from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
@@ -100,7 +100,7 @@
             self._changed(self._link.snapshot)
         elif self.seen is not None:
             self._go_by(self.seen)
-        note(
+        log_event(
             logging.INFO if answered else logging.WARNING, "rules_ready", version=self.version,
             head=self.seen.number if self.seen else 0, store=answered,
         )  # fmt: skip
@@ -127,7 +127,7 @@
         if told != self.diverged:
             self.diverged = told
             self._counters.add("rules_diverged")
-            note(logging.ERROR, "rules_diverged", seen=self.seen.number if self.seen else 0, told=told)
+            log_event(logging.ERROR, "rules_diverged", seen=self.seen.number if self.seen else 0, told=told)
         if self.seen is not None and self.version != self._wanted():
             self._go_by(self.seen)
 
@@ -140,7 +140,7 @@
             self._diverge(f"{head.number} without its rules")
             return
         if self.diverged:
-            note(logging.INFO, "rules_converged", head=head.number)
+            log_event(logging.INFO, "rules_converged", head=head.number)
         self.diverged, self.seen, self._kept = "", head, {EMPTY: RuleSet(), **kept}
         if head.rollout is None or head.rollout.id != self.left:
             self.left = 0
@@ -171,7 +171,7 @@
             return
         if version != self._table.version:
             self._counters.add("rules_changed")
-            note(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
+            log_event(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
         self._table = Table(version, rules, replace(self.context, cells=self._listed()))
         for told in self.on_obeyed:
             told()
--- a/pearloom/rules/snapshots.py
+++ b/pearloom/rules/snapshots.py
@@ -15,7 +15,7 @@
 import gevent
 import msgspec
 
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.rules.head import Head
 from pearloom.rules.records import FORMAT, RuleSet, version_of
 
@@ -48,10 +48,10 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as trouble:
-            note(logging.ERROR, "rules_snapshot_unusable", reason=str(trouble)[:200])
+            log_event(logging.ERROR, "rules_snapshot_unusable", reason=str(trouble)[:200])
             return None
         age_s = time.time() - found.at_ms / 1000.0
-        note(logging.WARNING, "rules_from_snapshot", head=found.head.number, age_s=age_s)
+        log_event(logging.WARNING, "rules_from_snapshot", head=found.head.number, age_s=age_s)
         return found
 
     def write(self, head: Head, versions: dict[str, RuleSet]) -> None:
@@ -62,7 +62,7 @@
         # In a thread: a disk may take its time, and calls don't wait for it.
         trouble = gevent.get_hub().threadpool.apply(_put, (self._path, body))
         if trouble:
-            note(logging.ERROR, "rules_snapshot_failed", reason=trouble)
+            log_event(logging.ERROR, "rules_snapshot_failed", reason=trouble)
 
 
 def _put(path: str, body: bytes) -> str:
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -19,7 +19,7 @@
 from pearloom.core.config import Address, ListUpdate, Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import Malformed
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import crashed, log_event
 from pearloom.servers.discovery import PoolView
 
 DIAL_S = 1.0
@@ -143,14 +143,14 @@
                 self._connection()
             except OSError as trouble:
                 if not self._moved:
-                    note(logging.WARNING, "coordinator_lost", index=self.index, reason=str(trouble))
+                    log_event(logging.WARNING, "coordinator_lost", index=self.index, reason=str(trouble))
             except Exception:
                 crashed("coordinator_failed", index=self.index)
             if self._moved:
                 # Guards against taking a move for a loss: it is no warning, and the new address is asked at
                 # once, not after the pause that spares a coordinator that has just failed.
                 host, port = self._address
-                note(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
+                log_event(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
             else:
                 gevent.sleep(REDIAL_S)
 
@@ -174,13 +174,13 @@
         """One event; one that is known already changes nothing."""
         self.heard = True
         if isinstance(update, Malformed):
-            note(logging.WARNING, "coordinator_malformed", reason=update.reason)
+            log_event(logging.WARNING, "coordinator_malformed", reason=update.reason)
             if update.fatal:
                 raise ConnectionError("malformed")
         elif isinstance(update, ListUpdate) and update.index > self.index:
             self.index = update.index
             self._counters.add("list_events_in")
             states = ",".join(f"{one.entry.server}:{one.entry.state.value}" for one in update.servers)
-            note(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
+            log_event(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
             kind = api.ListKind.COMPLETE if update.whole else api.ListKind.CHANGES
             self._listing.told(kind, update.servers)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -10,7 +10,7 @@
 from pearloom.core.connection import OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_NORMAL
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.core.remembered import Kept
 from pearloom.core.sides import Media, SetUp
 from pearloom.interface import Ending, PoolState
@@ -208,7 +208,7 @@
 
     def _dial_failed(self, failure: DialFailure) -> None:
         refused = failure.end is DialEnd.REFUSED
-        note(logging.INFO, "dial_failed", server=self.name, refused=refused, reason=failure.reason)
+        log_event(logging.INFO, "dial_failed", server=self.name, refused=refused, reason=failure.reason)
         if failure.end is not DialEnd.NOT_TRIED:
             self._liveness.dial_failed()
         waiting, self._waiting = self._waiting, []
@@ -260,7 +260,7 @@
             # How many set-ups it took along, whether the server ever spoke on it and how old it was: a
             # server that closes new connections at once shows as many short, silent ones.
             spoke, age_ms = link.heard_ms > link.opened_ms, round(self.now_ms - link.opened_ms)
-            note(
+            log_event(
                 logging.INFO, "server_closed", server=self.name, reason=reason, open=len(link.open),
                 spoke=spoke, age_ms=age_ms,
             )  # fmt: skip
@@ -314,7 +314,7 @@
         """Something came that is no SIP."""
         self._side.counters.add("malformed_from_servers")
         why = {"reason": message.reason, "closed": message.fatal}
-        note(logging.WARNING, "server_malformed", server=self.name, **why)
+        log_event(logging.WARNING, "server_malformed", server=self.name, **why)
 
     def message(self, link: Link, message: sip.Request | sip.Response) -> None:
         """Take one message."""
@@ -328,7 +328,7 @@
         elif isinstance(message, sip.Request) and message.method == "NOTIFY":
             pass  # all that it tells is in its X-Circuits, and it wants no answer
         elif call is None:
-            note(logging.WARNING, "server_no_call", server=self.name)
+            log_event(logging.WARNING, "server_no_call", server=self.name)
         elif isinstance(message, sip.Response):
             self._response(link, call, message)
         elif message.method == "BYE":
@@ -336,7 +336,9 @@
             cause = sip.reason_cause(message)
             self._released(call, CAUSE_NORMAL if cause is None else cause)
         elif message.method != "ACK":
-            note(logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call)
+            log_event(
+                logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call
+            )
 
     def _report(self, figures: str) -> None:
         """Guards against a gate that learns only from refusals how few lines are free."""
@@ -362,7 +364,7 @@
         outbound = self._set_ups.get(call)
         if outbound is not None and outbound.link is not link:
             # Guards against what comes late of an attempt before this one.
-            note(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
+            log_event(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
             return
         if outbound is not None:
             number, sequence = outbound.set_up.offer.number, sequence_of(outbound.set_up)
@@ -373,7 +375,9 @@
         else:
             # Guards against an answer under an id that nobody sent.
             self._side.counters.add("unknown_from_servers")
-            note(logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status)
+            log_event(
+                logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status
+            )
             return
         link.send(OutboundMessage(requests.ack(call, number, sequence)))
         if response.status >= 300:
