--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -25,7 +25,7 @@
 from pearloom.core.config import Config, ListUpdate, Server
 from pearloom.core.connection import accepted
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 from pearloom.interface import PoolEntry, PoolState
 from pearloom.servers.coordinator import Coordinator
 from pearloom.servers.directory import Directory
@@ -260,7 +260,7 @@
         except (OSError, ValueError, KeyError) as trouble:
             log_event(logging.WARNING, "handover_broke", reason=str(trouble))
         except Exception:
-            crashed("handover_failed")
+            log_exception("handover_failed")
         self._younger = None
         sock.close()
         if self._callers.yielded and not self._callers.stopping:
@@ -318,7 +318,7 @@
         except (OSError, ValueError, KeyError) as trouble:
             log_event(logging.WARNING, "handover_broke", reason=str(trouble))
         except Exception:
-            crashed("handover_failed")
+            log_exception("handover_failed")
         self._elder = None
         other.channel.sock.close()
         self._callers.held_elsewhere = 0
@@ -373,4 +373,4 @@
         except OSError:
             pass  # whoever reads from it sees its end
         except Exception:
-            crashed("handover_failed")
+            log_exception("handover_failed")
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -16,7 +16,7 @@
 from pearloom.core.config import Address
 from pearloom.core.connection import accepted
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 
 BACKLOG = 256
 CALL_S = 1.0  # from the connection to the last byte of the call: silent callers stay for seconds
@@ -190,7 +190,7 @@
         except OSError:
             pass  # the caller is gone, or had to make room
         except Exception:
-            crashed("management_failed")
+            log_exception("management_failed")
         finally:
             self._calls.pop(call, None)
             call.sock.close()
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -28,7 +28,7 @@
 )
 from pearloom.coordination.settings import StoreSettings
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 
 KEEP_LOOK_S = 0.05
 READ_BACK_TRIES = 3  # after a lost reply, before the outcome counts as unknown
@@ -105,7 +105,7 @@
                 self._told_up(False, str(trouble))
                 gevent.sleep(self._read_pause.failed() / 1000.0)
             except Exception:
-                crashed("store_follow_failed")
+                log_exception("store_follow_failed")
                 gevent.sleep(self._read_pause.failed() / 1000.0)
 
     def _read(self) -> None:
@@ -153,7 +153,7 @@
                 try:
                     told(found)
                 except Exception:
-                    crashed("store_change_failed")
+                    log_exception("store_change_failed")
             self._changed.set()
             self._changed.clear()
 
@@ -192,7 +192,7 @@
             except StoreError:
                 gevent.sleep(self._lease_pause.failed() / 1000.0)
             except Exception:
-                crashed("store_lease_failed")
+                log_exception("store_lease_failed")
                 gevent.sleep(self._lease_pause.failed() / 1000.0)
 
     def read_again(self) -> None:
--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from pearloom.core.errors import Progress
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 
 READ_BYTES = 64 * 1024
 MOST_QUEUED = 128 * 1024  # bytes: what a reader may be behind; 400 such connections still fit the memory
@@ -106,7 +106,7 @@
         try:
             self._on_close(reason, unsent)
         except Exception:
-            crashed("connection_close_failed")
+            log_exception("connection_close_failed")
 
     def _guard(self, work: Callable[[], None]) -> None:
         """Exceptions stop here: they end this connection, and the program goes on."""
@@ -115,7 +115,7 @@
         except OSError as trouble:
             self.close(_reason(trouble))
         except Exception:
-            crashed("connection_failed")
+            log_exception("connection_failed")
             self.close("failed here")
 
     @property
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -7,7 +7,7 @@
 
 from pearloom import interface as api
 from pearloom.core.clock import Clock
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 from pearloom.core.routing import CallRoute
 from pearloom.core.sides import Offer
 from pearloom.policy import Controller
@@ -89,7 +89,7 @@
         except Exception:
             # Guards against one call that the module chokes on: it is answered, and the others go on.
             self.broken += 1
-            crashed("decision_failed", what=type(event).__name__)
+            log_exception("decision_failed", what=type(event).__name__)
             actions = [api.Fail(event.call)] if isinstance(event, api.CallArrived) else []
         for action in actions:
             self._act(action)
--- a/pearloom/core/logs.py
+++ b/pearloom/core/logs.py
@@ -64,7 +64,7 @@
     log.log(level, event, extra={"pairs": pairs})
 
 
-def crashed(event: str, **pairs: object) -> None:
+def log_exception(event: str, **pairs: object) -> None:
     """Log the exception at hand; the program goes on."""
     log.error(event, extra={"pairs": pairs}, exc_info=True)
 
--- a/pearloom/core/timers.py
+++ b/pearloom/core/timers.py
@@ -5,7 +5,7 @@
 import heapq
 from collections.abc import Callable
 
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 
 
 class Timers:
@@ -28,4 +28,4 @@
             try:
                 heapq.heappop(self._waiting)[2]()
             except Exception:
-                crashed("timer_failed")
+                log_exception("timer_failed")
--- a/pearloom/iax2/udp.py
+++ b/pearloom/iax2/udp.py
@@ -10,7 +10,7 @@
 import gevent
 
 from pearloom.core.config import Address
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 
 RECEIVE_BYTES = 4 * 1024 * 1024  # asked of the system, which may give less: what waits for its turn
 DATAGRAM = 64 * 1024
@@ -90,7 +90,7 @@
                     log_event(logging.WARNING, "iax2_receive_failed", errno=trouble.errno)
                     gevent.sleep(0.01)
                 except Exception:
-                    crashed("iax2_failed")
+                    log_exception("iax2_failed")
                 taken += 1
                 if taken >= A_TURN:
                     # Guards against a flood that keeps all others from their turn.
@@ -105,7 +105,7 @@
         try:
             action()
         except Exception:
-            crashed("iax2_failed")
+            log_exception("iax2_failed")
 
     def close(self) -> None:
         """Read and send nothing more."""
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -17,7 +17,7 @@
 from pearloom.coordination.pace import patience_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 from pearloom.interface import PoolState
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.capacity import load, weighed
@@ -144,7 +144,7 @@
                 self._member.look_again()
                 self._once()
             except Exception:
-                crashed("maintenance_failed")
+                log_exception("maintenance_failed")
 
     def _once(self) -> None:
         slots = self.slots
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -12,7 +12,7 @@
 
 from pearloom.coordination import Link, Outcome, Snapshot
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 from pearloom.membership.view import (
     FORMAT,
     MemberFacts,
@@ -87,7 +87,7 @@
             try:
                 gevent.sleep(self._period_ms / 1000.0 if self._beat() else AGAIN_S)
             except Exception:
-                crashed("member_beat_failed")
+                log_exception("member_beat_failed")
                 gevent.sleep(AGAIN_S)
 
     def _beat(self) -> bool:
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -18,7 +18,7 @@
 from pearloom.coordination.pace import patience_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.ends import End
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, Followed
@@ -78,7 +78,7 @@
             try:
                 write()
             except Exception:
-                crashed(event)
+                log_exception(event)
             gevent.sleep(pause_s)
 
     # --- counting -------------------------------------------------------------------------------------------
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -19,7 +19,7 @@
 from pearloom.core.config import Address, ListUpdate, Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import Malformed
-from pearloom.core.logs import crashed, log_event
+from pearloom.core.logs import log_event, log_exception
 from pearloom.servers.discovery import PoolView
 
 DIAL_S = 1.0
@@ -145,7 +145,7 @@
                 if not self._moved:
                     log_event(logging.WARNING, "coordinator_lost", index=self.index, reason=str(trouble))
             except Exception:
-                crashed("coordinator_failed", index=self.index)
+                log_exception("coordinator_failed", index=self.index)
             if self._moved:
                 # Guards against taking a move for a loss: it is no warning, and the new address is asked at
                 # once, not after the pause that spares a coordinator that has just failed.
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -10,7 +10,7 @@
 from pearloom.core.counters import Counters
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 from pearloom.core.sides import Media, SetUp
 from pearloom.interface import PoolState
 
@@ -108,7 +108,7 @@
                     trunk.close()
                     del self._trunks[trunk.name]
         except Exception:
-            crashed("watch_failed")
+            log_exception("watch_failed")
         self.exchange.after_ms(WATCH_MS, self._watch)
 
     @property
