--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -21,7 +21,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, Offer
+from pearloom.core.sides import Caller, SetUpRequest
 
 CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
 BASE_MB = 14.0  # what the program takes with no connection
@@ -236,7 +236,7 @@
         """Has it brought a set-up?"""
         return caller in self._talkers
 
-    def read_offer(self, message: Message) -> Offer | None:
+    def read_offer(self, message: Message) -> SetUpRequest | None:
         """The set-up in a message, or None where it lacks what a set-up needs."""
         told = message.text(Code.FIGURES, absent="")
         if told is None or (told and not _FIGURES.fullmatch(told)):
--- a/pearloom/core/account.py
+++ b/pearloom/core/account.py
@@ -12,7 +12,7 @@
 from pearloom.core.errors import AttemptError
 from pearloom.core.logs import log_event
 from pearloom.core.routing import CallRoute, Router
-from pearloom.core.sides import Call, Offer
+from pearloom.core.sides import Call, SetUpRequest
 from pearloom.interface import Ending
 
 
@@ -27,11 +27,11 @@
         self._aims_us = [kind.aim_us for kind in classes]
         self.router: Router | None = None  # set where the fleet has routing rules
 
-    def way(self, offer: Offer) -> CallRoute | None:
+    def way(self, offer: SetUpRequest) -> CallRoute | None:
         """The way that the rules of this moment give a call, where there are any."""
         return self.router.way(offer) if self.router is not None else None
 
-    def unseen(self, offer: Offer) -> None:
+    def unseen(self, offer: SetUpRequest) -> None:
         """Refused before anything was decided of it."""
         self.counters.add("refused_unseen")
         self.figures.declined(offer.kind)
--- a/pearloom/core/backlog.py
+++ b/pearloom/core/backlog.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 
 OPEN_A_MB = 80.0  # set-ups for each MB that the program may use: they take a quarter of it
 DESCRIBED_SHARE = 1 / 16  # of the memory: their descriptions, which the attempts hold once more
@@ -20,16 +20,16 @@
         self._most = int(OPEN_A_MB * memory_mb)
         self._most_described = DESCRIBED_SHARE * memory_mb * 2**20
 
-    def has_room(self, offer: Offer) -> bool:
+    def has_room(self, offer: SetUpRequest) -> bool:
         """May this one wait too?"""
         return self.count < self._most and self._described + len(offer.description) <= self._most_described
 
-    def add(self, offer: Offer) -> None:
+    def add(self, offer: SetUpRequest) -> None:
         """It waits from now on."""
         self.count += 1
         self._described += len(offer.description)
 
-    def remove(self, offer: Offer) -> None:
+    def remove(self, offer: SetUpRequest) -> None:
         """It waits no longer, and its description is dropped: nobody needs it any more."""
         self.count -= 1
         self._described -= len(offer.description)
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -9,11 +9,11 @@
 from pearloom.core.clock import Clock
 from pearloom.core.logs import log_exception
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 from pearloom.policy import Controller
 
 
-def arrival(offer: Offer, way: CallRoute | None) -> api.CallArrived:
+def arrival(offer: SetUpRequest, way: CallRoute | None) -> api.CallArrived:
     """A new set-up as the decision module hears of it; `way`: what the fleet's routing rules said of it."""
     return api.CallArrived(
         call=offer.call,
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -20,7 +20,7 @@
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import log_event
 from pearloom.core.remembered import Remembered
-from pearloom.core.sides import Call, Caller, CallerSide, Media, NullCaller, Offer, ServerSide, SetUp
+from pearloom.core.sides import Call, Caller, CallerSide, Media, NullCaller, ServerSide, SetUp, SetUpRequest
 from pearloom.core.standing import Standing
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
@@ -108,7 +108,9 @@
         """A call stands that the process before this one set up; False where it is known here."""
         if name in self._calls or name in self._over:
             return False
-        call = Call(Offer(name, -1, "", number, b"", 0.0, -1), NullCaller(), server=server, stood_ms=stood_ms)
+        call = Call(
+            SetUpRequest(name, -1, "", number, b"", 0.0, -1), NullCaller(), server=server, stood_ms=stood_ms
+        )
         call.answered = call.stands = True
         self._calls[name] = call
         self._standing.put(call)
@@ -137,7 +139,7 @@
         return call in self._over
 
     # --- from the callers -----------------------------------------------------------------------------------
-    def offered(self, offer: Offer, caller: Caller) -> None:
+    def offered(self, offer: SetUpRequest, caller: Caller) -> None:
         """A new set-up."""
         self._counters.add("set_ups_in")
         # Guards also against set-ups behind a close that is not read yet: nothing would ever end them.
@@ -149,12 +151,12 @@
         self._backlog.add(offer)
         self._tell(arrival(offer, way))
 
-    def refuse(self, offer: Offer, caller: Caller) -> None:
+    def refuse(self, offer: SetUpRequest, caller: Caller) -> None:
         """A new set-up that the callers' side has no room for; nothing is decided of the call."""
         self._counters.add("set_ups_in")
         self._refuse_unseen(offer, caller)
 
-    def _refuse_unseen(self, offer: Offer, caller: Caller) -> None:
+    def _refuse_unseen(self, offer: SetUpRequest, caller: Caller) -> None:
         self.account.unseen(offer)
         caller.refused(offer.call, self.stay_away_ms)
 
--- a/pearloom/core/offers.py
+++ b/pearloom/core/offers.py
@@ -5,7 +5,7 @@
 import re
 
 from pearloom.core.config import Config
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 
 MOST_DESCRIPTION = 15 * 1024  # bytes: with its headers it has to fit one SIP message
 PATIENCE_SLACK = 2.0  # x the longest deadline: no caller waits longer
@@ -42,7 +42,7 @@
         first_choice: int,
         was_cut: bool,
         tenant_name: str | None = "",
-    ) -> Offer | None:
+    ) -> SetUpRequest | None:
         """The offer, or None where anything lies outside what a set-up may have.
 
         `tenant_name`: empty where none is told, None where it can't be read. Where the settings have tenants,
@@ -57,4 +57,6 @@
         tenant = self._tenants.get(tenant_name or "", -1)
         if self._tenants and tenant < 0 and tenant_name != "":
             return None
-        return Offer(call, kind, class_name, number, description, patience_ms, first_choice, was_cut, tenant)
+        return SetUpRequest(
+            call, kind, class_name, number, description, patience_ms, first_choice, was_cut, tenant
+        )
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -10,7 +10,7 @@
 
 from pearloom import interface as api
 from pearloom.core.ends import End
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 class Router(Protocol):
     """Asked once for each call, at its arrival; nothing of it may wait."""
 
-    def way(self, offer: Offer) -> CallRoute:
+    def way(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
 
     def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
--- a/pearloom/core/sides.py
+++ b/pearloom/core/sides.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Offer:
+class SetUpRequest:
     """A set-up as a caller brought it; the description is dropped once the answer has been given."""
 
     call: str
@@ -38,7 +38,7 @@
 class SetUp:
     """One attempt to be sent; the offer goes on unchanged."""
 
-    offer: Offer
+    offer: SetUpRequest
     attempt: int
     ring_ms: float
 
@@ -138,7 +138,7 @@
 class Call:
     """One call of this life, from its set-up until it is over."""
 
-    offer: Offer
+    offer: SetUpRequest
     caller: Caller
     attempts: int = 0
     current: int = -1
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -14,7 +14,7 @@
 from pearloom.binary.isup import Code, Message, Type
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
-from pearloom.core.sides import Media, MediaKind, Offer
+from pearloom.core.sides import Media, MediaKind, SetUpRequest
 from pearloom.fakes.journal import Journal, What
 from pearloom.fakes.reading import messages
 from pearloom.fakes.rules import SLACK_MS
@@ -42,7 +42,7 @@
     return time.time() * 1000.0
 
 
-def _offered(journal: Journal, who: str, protocol: str, offer: Offer) -> None:
+def _offered(journal: Journal, who: str, protocol: str, offer: SetUpRequest) -> None:
     journal.add(
         What.OFFERED, who, offer.call, offer.class_name, protocol, offer.description, offer.number,
         offer.patience_ms,
@@ -67,7 +67,7 @@
             gevent.spawn(self._read, self._sock)
         return self._sock
 
-    def place(self, offer: Offer, holds_ms: float = math.inf) -> None:
+    def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
         """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
         figures = f"dest:{offer.first_choice};width:1;via:-1" + (";again:1" if offer.was_cut else "")
         parameters = {
@@ -173,7 +173,7 @@
         self._sock.bind((host, 0))
         self._running = [gevent.spawn(self._read), gevent.spawn(self._tick)]
 
-    def place(self, offer: Offer, holds_ms: float = math.inf) -> None:
+    def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
         """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
         number = self._numbers.take(_now())
         if number is None:
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -24,7 +24,7 @@
 from gevent.threadpool import ThreadPool
 
 from pearloom.core.config import Address
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 from pearloom.fakes.callers import BinaryCaller
 from pearloom.fakes.coordinator import Listed, StandInCoordinator
 from pearloom.fakes.etcd import Gateway
@@ -309,7 +309,7 @@
         log = node.log()
         return log.rfind("event=draining") > max(log.rfind("event=active"), log.rfind("event=started"))
 
-    def _offer(self) -> Offer:
+    def _offer(self) -> SetUpRequest:
         self._calls += 1
         described = f"caller {self._calls}".encode()
         return draw_offer(self.random, self.seed, self._calls, len(self.all_servers), 3_000.0, described)
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -18,7 +18,7 @@
 from gevent import socket
 
 from pearloom.core.config import Address
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 from pearloom.fakes.callers import BinaryCaller, Iax2Caller
 from pearloom.fakes.coordinator import Listed, StandInCoordinator
 from pearloom.fakes.iax2_server import Iax2Server
@@ -58,10 +58,10 @@
 
 def draw_offer(
     random: Random, seed: int, number: int, servers: int, patience_ms: float, description: bytes
-) -> Offer:
+) -> SetUpRequest:
     """Call `number` of the run with this seed: its class, what it dials and its first choice are drawn."""
     kind = int(random.random() < WORTH_SHARE)
-    return Offer(
+    return SetUpRequest(
         call=f"{seed & 0xFFFF:04x}{number:012x}",
         kind=kind,
         class_name=CLASSES[kind],
@@ -186,7 +186,7 @@
                 )
             )
 
-    def offer(self, patience_ms: float = 3_000.0, description_bytes: int = 80) -> Offer:
+    def offer(self, patience_ms: float = 3_000.0, description_bytes: int = 80) -> SetUpRequest:
         """The next call, drawn."""
         self._calls += 1
         return draw_offer(
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -14,7 +14,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, CallerSide, Media, Offer
+from pearloom.core.sides import Caller, CallerSide, Media, SetUpRequest
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import Admission
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NETWORK_OUT_OF_ORDER, CAUSE_TEMPORARY_FAILURE
@@ -40,7 +40,7 @@
     front: Front
     peer: _Peer
     token: bytes
-    offer: Offer | None = None
+    offer: SetUpRequest | None = None
     codec = 0
 
     # --- exchange.Caller
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -6,7 +6,7 @@
 
 from pearloom.core.errors import Malformed
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Offer, SetUp
+from pearloom.core.sides import SetUp, SetUpRequest
 from pearloom.iax2.frames import VERSION, Element, Elements, join_description, split_description
 
 Pairs = list[tuple[int, bytes]]
@@ -35,7 +35,7 @@
     return pairs
 
 
-def call_elements(offer: Offer, username: str = "") -> Pairs:
+def call_elements(offer: SetUpRequest, username: str = "") -> Pairs:
     """What a caller says of its call in a NEW: the same, and what is meant for the softswitch alone."""
     pairs = offer_elements(SetUp(offer, 0, offer.patience_ms), username)
     pairs.append((Element.FIRST_CHOICE, offer.first_choice.to_bytes(4, "big", signed=True)))
@@ -48,7 +48,7 @@
     return int.from_bytes(value[:8], "big")
 
 
-def read_offer(elements: Elements, rules: OfferRules, default_class: str, mint: str) -> Offer | str:
+def read_offer(elements: Elements, rules: OfferRules, default_class: str, mint: str) -> SetUpRequest | str:
     """The set-up in a NEW, or what is wrong with it.
 
     A plain IAX2 caller tells neither id, class nor patience: the id is then `mint`, the class the operator's
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -18,7 +18,7 @@
 from pearloom.core.ends import End
 from pearloom.core.logs import log_event
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
+from pearloom.core.sides import SetUpRequest
 from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
 from pearloom.rules.records import EMPTY, RuleSet
 from pearloom.rules.settings import RulesSettings
@@ -58,7 +58,7 @@
         link.on_change.append(self._changed)
 
     # --- what the exchange asks -----------------------------------------------------------------------------
-    def way(self, offer: Offer) -> CallRoute:
+    def way(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
         table = self._table
         return CallRoute(
--- a/tests/races/test_servers.py
+++ b/tests/races/test_servers.py
@@ -11,7 +11,7 @@
 
 from pearloom.core import connection as core_connection
 from pearloom.core.connection import Connection, OutboundMessage
-from pearloom.core.sides import NullCaller, Offer
+from pearloom.core.sides import NullCaller, SetUpRequest
 from tests.player import encode
 from tests.races.scene import CALL, SECOND, Scene, dials_held, scene, set_up
 
@@ -92,7 +92,7 @@
 def test_a_set_up_that_meets_a_close_not_read_yet_goes_out_on_a_new_connection_at_once(scene: Scene) -> None:
     """Guards against doubt, and its pause, over a set-up that a closed connection can't have brought."""
     scene.peers["s1"].close()
-    offer = Offer(CALL, 0, "open-form", "7f3a9c21e0b4d655", b"sdp-c", 3000.0, 0)
+    offer = SetUpRequest(CALL, 0, "open-form", "7f3a9c21e0b4d655", b"sdp-c", 3000.0, 0)
     scene.softswitch.exchange.offered(offer, NullCaller())  # nobody has had a turn since the close
     scene.do(("s1", "opens", ""))
     scene.invited("s1")
