--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -19,12 +19,12 @@
 from pearloom.admin.handover import Handover, Legacy, ask, path_of
 from pearloom.admin.management import MOST_BYTES, Answer, Management, Routes, most_calls
 from pearloom.binary.callers import Callers
+from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, ConfigError, read_config
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import configure, log_event
-from pearloom.core.sides import CallerSide
 from pearloom.servers.coordinator import Coordinator, cached
 from pearloom.servers.directory import SIP, Directory, Maker
 from pearloom.servers.discovery import PoolView
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -14,6 +14,7 @@
 
 from pearloom.binary.connection import UNHEARD_MS, CallerConnection
 from pearloom.binary.isup import Code, Message
+from pearloom.core.calls import Caller, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address, Config
 from pearloom.core.connection import accepted
@@ -21,7 +22,6 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, SetUpRequest
 
 CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
 BASE_MB = 14.0  # what the program takes with no connection
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -11,11 +11,11 @@
 
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
+from pearloom.core.calls import Media
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.sides import Media
 
 if TYPE_CHECKING:
     from pearloom.binary.callers import Callers
--- a/pearloom/core/backlog.py
+++ b/pearloom/core/backlog.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearloom.core.sides import SetUpRequest
+from pearloom.core.calls import SetUpRequest
 
 OPEN_A_MB = 80.0  # set-ups for each MB that the program may use: they take a quarter of it
 DESCRIBED_SHARE = 1 / 16  # of the memory: their descriptions, which the attempts hold once more
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from pearloom import interface as api
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.logs import log_exception
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import SetUpRequest
 from pearloom.policy import Controller
 
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -13,6 +13,7 @@
 from pearloom import interface as api
 from pearloom.core.account import Account
 from pearloom.core.backlog import Backlog
+from pearloom.core.calls import Call, Caller, CallerSide, Media, NullCaller, ServerSide, SetUp, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters, Figures
@@ -20,7 +21,6 @@
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import log_event
 from pearloom.core.remembered import Remembered
-from pearloom.core.sides import Call, Caller, CallerSide, Media, NullCaller, ServerSide, SetUp, SetUpRequest
 from pearloom.core.standing import Standing
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
--- a/pearloom/core/offers.py
+++ b/pearloom/core/offers.py
@@ -4,8 +4,8 @@
 
 import re
 
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Config
-from pearloom.core.sides import SetUpRequest
 
 MOST_DESCRIPTION = 15 * 1024  # bytes: with its headers it has to fit one SIP message
 PATIENCE_SLACK = 2.0  # x the longest deadline: no caller waits longer
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from pearloom import interface as api
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.ends import End
-from pearloom.core.sides import SetUpRequest
 
 
 @dataclass(frozen=True, slots=True)
--- a/pearloom/core/standing.py
+++ b/pearloom/core/standing.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from pearloom.core.sides import Call, Caller
+from pearloom.core.calls import Call, Caller
 
 
 class Standing:
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -12,9 +12,9 @@
 
 from pearloom.binary import isup
 from pearloom.binary.isup import Code, Message, Type
+from pearloom.core.calls import Media, MediaKind, SetUpRequest
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
-from pearloom.core.sides import Media, MediaKind, SetUpRequest
 from pearloom.fakes.journal import Journal, What
 from pearloom.fakes.reading import messages
 from pearloom.fakes.rules import SLACK_MS
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -23,8 +23,8 @@
 import gevent
 from gevent.threadpool import ThreadPool
 
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Address
-from pearloom.core.sides import SetUpRequest
 from pearloom.fakes.callers import BinaryCaller
 from pearloom.fakes.coordinator import Listed, StandInCoordinator
 from pearloom.fakes.etcd import Gateway
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -17,8 +17,8 @@
 import gevent
 from gevent import socket
 
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Address
-from pearloom.core.sides import SetUpRequest
 from pearloom.fakes.callers import BinaryCaller, Iax2Caller
 from pearloom.fakes.coordinator import Listed, StandInCoordinator
 from pearloom.fakes.iax2_server import Iax2Server
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from pearloom.core.sides import Media
+from pearloom.core.calls import Media
 from pearloom.iax2.doubt import End, Stage
 from pearloom.iax2.frames import (
     Elements,
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -8,8 +8,8 @@
 
 import math
 
+from pearloom.core.calls import Media, MediaKind
 from pearloom.core.errors import Malformed
-from pearloom.core.sides import Media, MediaKind
 from pearloom.iax2.doubt import CAUSE_TEMPORARY_FAILURE
 from pearloom.iax2.events import (
     Event,
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -7,6 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
+from pearloom.core.calls import Caller, CallerSide, Media, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address
 from pearloom.core.counters import Counters
@@ -14,7 +15,6 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, CallerSide, Media, SetUpRequest
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import Admission
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NETWORK_OUT_OF_ORDER, CAUSE_TEMPORARY_FAILURE
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping
 
+from pearloom.core.calls import SetUp, SetUpRequest
 from pearloom.core.errors import Malformed
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import SetUp, SetUpRequest
 from pearloom.iax2.frames import VERSION, Element, Elements, join_description, split_description
 
 Pairs = list[tuple[int, bytes]]
--- a/pearloom/iax2/speech.py
+++ b/pearloom/iax2/speech.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearloom.core.sides import Media, MediaKind
+from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.frames import (
     Full,
     Mini,
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -5,11 +5,11 @@
 import logging
 from dataclasses import dataclass
 
+from pearloom.core.calls import Media, SetUp
 from pearloom.core.config import Server
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
 from pearloom.core.logs import log_event
-from pearloom.core.sides import Media, SetUp
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
 from pearloom.iax2.frames import Elements, Full, Iax, Mini, decode
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -16,13 +16,13 @@
 from pearloom.admin.management import MOST_BYTES
 from pearloom.binary.callers import Callers
 from pearloom.coordination.settings import StoreSettings, read_store
+from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, ConfigError
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.offers import OfferRules
-from pearloom.core.sides import CallerSide
 from pearloom.iax2.listener import Front, Fronts
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
+from pearloom.core.calls import Media, SetUp
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_exception
-from pearloom.core.sides import Media, SetUp
 from pearloom.interface import PoolState
 
 WATCH_MS = 100.0  # how often trunks are looked at
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -9,9 +9,9 @@
 
 from gevent import socket
 
+from pearloom.core.calls import SetUp
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
-from pearloom.core.sides import SetUp
 from pearloom.interface import Ending
 from pearloom.sip import codec as sip
 
--- a/pearloom/sip/requests.py
+++ b/pearloom/sip/requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearloom.core.sides import SetUp
+from pearloom.core.calls import SetUp
 from pearloom.sip.codec import encode_request
 
 BYE_SEQUENCE = 2  # CSeq; it need not be above the INVITE's, as the method tells the two apart
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -6,13 +6,13 @@
 
 import gevent
 
+from pearloom.core.calls import Media, SetUp
 from pearloom.core.config import Server
 from pearloom.core.connection import OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_NORMAL
 from pearloom.core.logs import log_event
 from pearloom.core.remembered import Kept
-from pearloom.core.sides import Media, SetUp
 from pearloom.interface import Ending, PoolState
 from pearloom.servers.directory import Directory
 from pearloom.settings import read_report
--- a/tests/races/test_servers.py
+++ b/tests/races/test_servers.py
@@ -10,8 +10,8 @@
 from gevent import socket as gevent_socket
 
 from pearloom.core import connection as core_connection
+from pearloom.core.calls import NullCaller, SetUpRequest
 from pearloom.core.connection import Connection, OutboundMessage
-from pearloom.core.sides import NullCaller, SetUpRequest
 from tests.player import encode
 from tests.races.scene import CALL, SECOND, Scene, dials_held, scene, set_up
 
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -7,11 +7,11 @@
 import pytest
 
 from pearloom import interface as api
+from pearloom.core.calls import NullCaller, SetUp, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.errors import Progress
 from pearloom.core.exchange import Exchange
-from pearloom.core.sides import NullCaller, SetUp, SetUpRequest
 from tests.helpers import entry, settings
 
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -8,7 +8,7 @@
 
 from pearloom import interface as api
 from pearloom.binary.isup import Code, Message, Type
-from pearloom.core.sides import NullCaller
+from pearloom.core.calls import NullCaller
 from tests.player import Player
 
 
