--- a/pearloom/core/account.py
+++ b/pearloom/core/account.py
@@ -9,9 +9,9 @@
 from pearloom.core.calls import Call, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.counters import Counters, Figures
-from pearloom.core.ends import End
 from pearloom.core.errors import AttemptError
 from pearloom.core.logs import log_event
+from pearloom.core.outcomes import End
 from pearloom.core.routing import CallRoute, Router
 from pearloom.interface import Ending
 
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -10,7 +10,7 @@
 
 from pearloom import interface as api
 from pearloom.core.calls import SetUpRequest
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 
 
 @dataclass(frozen=True, slots=True)
--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 from pearloom.rollout import stages
 from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, stage_mark
 from pearloom.rollout.judge import judge
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -19,7 +19,7 @@
 
 from pearloom.coordination.port import Snapshot
 from pearloom.coordination.values import decoded
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 
 EVIDENCE = "evidence/"
 FORMAT = 1
--- a/pearloom/rollout/guard.py
+++ b/pearloom/rollout/guard.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from math import log
 
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 from pearloom.rollout.evidence import BAD, ENDS, BySecond
 from pearloom.rollout.judge import Finding, Stratum, dispersion, log_evidence
 
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -17,8 +17,8 @@
 from pearloom.coordination import Attempt, Compare, Link, Outcome, Snapshot, Write
 from pearloom.coordination.pace import patience_ms, rank
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
 from pearloom.core.logs import log_event, log_exception
+from pearloom.core.outcomes import End
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, Followed
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from math import exp, log, log1p
 
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 from pearloom.rollout.evidence import BAD, ENDS, Ends, Evidence, added
 
 RATIOS = (1.25, 1.6, 2.0, 3.0, 5.0, 10.0, 30.0, 100.0)  # of the tolerated rate: the alternatives mixed
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -16,8 +16,8 @@
 from pearloom.coordination import Link, Snapshot
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
 from pearloom.core.logs import log_event
+from pearloom.core.outcomes import End
 from pearloom.core.routing import CallRoute
 from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
 from pearloom.rules.records import EMPTY, RuleSet
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pearloom.coordination.port import Entry, Snapshot
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 from pearloom.rollout import evidence
 from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, added, delays_of, join, stage_mark, told
 
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 from pearloom.fakes.fleet.days import Day, false_halts, play_day
 from pearloom.rollout.evidence import Evidence, Tally, stage_mark
 from pearloom.rollout.judge import RATIOS, Stratum, bounds, judge, log_evidence
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -18,7 +18,7 @@
 )
 
 from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.core.ends import End
+from pearloom.core.outcomes import End
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
