--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -11,7 +11,6 @@
 from dataclasses import replace
 
 from pearloom import interface as api
-from pearloom.core.account import Account
 from pearloom.core.backlog import Backlog
 from pearloom.core.calls import Call, Caller, CallerSide, Media, NullCaller, ServerSide, SetUp, SetUpRequest
 from pearloom.core.clock import Clock
@@ -21,6 +20,7 @@
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import log_event
 from pearloom.core.remembered import Remembered
+from pearloom.core.reporting import Account
 from pearloom.core.standing import Standing
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
