--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -21,7 +21,7 @@
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.offers import OfferRules
+from pearloom.core.set_up_validation import OfferRules
 
 CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
 BASE_MB = 14.0  # what the program takes with no connection
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -14,7 +14,7 @@
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.offers import OfferRules
+from pearloom.core.set_up_validation import OfferRules
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import Admission
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NETWORK_OUT_OF_ORDER, CAUSE_TEMPORARY_FAILURE
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -6,7 +6,7 @@
 
 from pearloom.core.calls import SetUp, SetUpRequest
 from pearloom.core.errors import Malformed
-from pearloom.core.offers import OfferRules
+from pearloom.core.set_up_validation import OfferRules
 from pearloom.iax2.frames import VERSION, Element, Elements, join_description, split_description
 
 Pairs = list[tuple[int, bytes]]
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -22,7 +22,7 @@
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.offers import OfferRules
+from pearloom.core.set_up_validation import OfferRules
 from pearloom.iax2.listener import Front, Fronts
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
