--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -11,7 +11,6 @@
 from dataclasses import replace
 
 from pearloom import interface as api
-from pearloom.core.backlog import Backlog
 from pearloom.core.calls import Call, Caller, CallerSide, Media, NullCaller, ServerSide, SetUp, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
@@ -19,6 +18,7 @@
 from pearloom.core.decider import Decider, arrival
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import log_event
+from pearloom.core.pending_limit import Backlog
 from pearloom.core.remembered import Remembered
 from pearloom.core.reporting import Account
 from pearloom.core.standing import Standing
