--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -19,7 +19,7 @@
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.logs import log_event
 from pearloom.core.pending_limit import Backlog
-from pearloom.core.remembered import Remembered
+from pearloom.core.recent import Remembered
 from pearloom.core.reporting import Account
 from pearloom.core.standing import Standing
 from pearloom.core.timers import Timers
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -12,7 +12,7 @@
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_NORMAL
 from pearloom.core.logs import log_event
-from pearloom.core.remembered import Kept
+from pearloom.core.recent import Kept
 from pearloom.interface import Ending, PoolState
 from pearloom.servers.directory import Directory
 from pearloom.settings import read_report
