--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -17,11 +17,11 @@
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.decider import Decider, arrival
 from pearloom.core.errors import AttemptError, Progress
+from pearloom.core.established import Standing
 from pearloom.core.logs import log_event
 from pearloom.core.pending_limit import Backlog
 from pearloom.core.recent import Remembered
 from pearloom.core.reporting import Account
-from pearloom.core.standing import Standing
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
 
