--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class SetUp:
+class SetUpAttempt:
     """One attempt to be sent; the offer goes on unchanged."""
 
     offer: SetUpRequest
@@ -118,7 +118,7 @@
     def withdraw_unsent(self) -> None:
         """End every attempt that has not left yet for a server that may get no new set-up."""
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         """Send an attempt; its end or answer comes back to the exchange."""
 
     def give_up(self, server: str, call: str) -> Progress | None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -11,7 +11,16 @@
 from dataclasses import replace
 
 from pearloom import interface as api
-from pearloom.core.calls import Call, Caller, CallerSide, Media, NullCaller, ServerSide, SetUp, SetUpRequest
+from pearloom.core.calls import (
+    Call,
+    Caller,
+    CallerSide,
+    Media,
+    NullCaller,
+    ServerSide,
+    SetUpAttempt,
+    SetUpRequest,
+)
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters, Figures
@@ -346,7 +355,7 @@
         call.timeout_ms = timeout_us / 1000.0
         self._counters.add("attempts")
         self.after_ms(call.timeout_ms, lambda: self._give_up(call, Ending.TIMED_OUT, attempt))
-        self._servers.set_up(server, SetUp(call.offer, attempt, call.timeout_ms))
+        self._servers.set_up(server, SetUpAttempt(call.offer, attempt, call.timeout_ms))
 
     def _answered(self, name: str) -> Call | None:
         """The call that is answered with this, or None.
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from pearloom.core.calls import SetUp, SetUpRequest
+from pearloom.core.calls import SetUpAttempt, SetUpRequest
 from pearloom.core.errors import Malformed
 from pearloom.core.set_up_validation import OfferRules
 from pearloom.iax2.frames import VERSION, Element, Elements, join_description, split_description
@@ -15,7 +15,7 @@
 _CALL_OCTETS = 8
 
 
-def offer_elements(set_up: SetUp, username: str) -> Pairs:
+def offer_elements(set_up: SetUpAttempt, username: str) -> Pairs:
     """A set-up as the elements of a NEW; a codec that its caller named is the only one that is offered."""
     offer = set_up.offer
     codec = offer.codec or ULAW
@@ -37,7 +37,7 @@
 
 def call_elements(offer: SetUpRequest, username: str = "") -> Pairs:
     """What a caller says of its call in a NEW: the same, and what is meant for the softswitch alone."""
-    pairs = offer_elements(SetUp(offer, 0, offer.patience_ms), username)
+    pairs = offer_elements(SetUpAttempt(offer, 0, offer.patience_ms), username)
     pairs.append((Element.FIRST_CHOICE, offer.first_choice.to_bytes(4, "big", signed=True)))
     if offer.was_cut:
         pairs.append((Element.AGAIN, b"\x01"))
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -5,7 +5,7 @@
 import logging
 from dataclasses import dataclass
 
-from pearloom.core.calls import Media, SetUp
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.config import Server
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
@@ -30,7 +30,7 @@
 class _Placed:
     """A call of this trunk."""
 
-    set_up: SetUp
+    set_up: SetUpAttempt
     stands: bool = False
     given_up: bool = False  # by the exchange, which waits for its end
 
@@ -87,7 +87,7 @@
         if self._port is not None:
             self._port.send(data)
 
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send NEW."""
         call = set_up.offer.call
         try:
@@ -137,7 +137,7 @@
             leg.placed.given_up = False
             self._attempt_ended(leg.placed.set_up, AttemptError(Progress.SENT, "given up"))
 
-    def _attempt_ended(self, set_up: SetUp, error: AttemptError) -> None:
+    def _attempt_ended(self, set_up: SetUpAttempt, error: AttemptError) -> None:
         self._exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
 
     def withdraw_unsent(self) -> None:
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
-from pearloom.core.calls import Media, SetUp
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
@@ -46,7 +46,7 @@
     def update(self, server: Server) -> None:
         """The list says something new of this server."""
 
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
 
     def give_up(self, call: str) -> Progress | None:
@@ -179,7 +179,7 @@
             if not trunk.ready:
                 trunk.withdraw_unsent()
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
         trunk = self._trunks.get(server)
         if trunk is None or not trunk.ready:
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -9,7 +9,7 @@
 
 from gevent import socket
 
-from pearloom.core.calls import SetUp
+from pearloom.core.calls import SetUpAttempt
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.interface import Ending
@@ -52,7 +52,7 @@
     def __init__(
         self,
         data: bytes,
-        set_up: SetUp,
+        set_up: SetUpAttempt,
         may_leave: Callable[[OutboundSetUp], bool],
         on_written: Callable[[], None],
     ) -> None:
--- a/pearloom/sip/requests.py
+++ b/pearloom/sip/requests.py
@@ -2,25 +2,25 @@
 
 from __future__ import annotations
 
-from pearloom.core.calls import SetUp
+from pearloom.core.calls import SetUpAttempt
 from pearloom.sip.codec import encode_request
 
 BYE_SEQUENCE = 2  # CSeq; it need not be above the INVITE's, as the method tells the two apart
 
 
-def sequence_of(set_up: SetUp) -> int:
+def sequence_of(set_up: SetUpAttempt) -> int:
     """The CSeq of an attempt's INVITE, counted from 1."""
     return set_up.attempt + 1
 
 
-def invite(set_up: SetUp) -> bytes:
+def invite(set_up: SetUpAttempt) -> bytes:
     """An attempt; what the caller brought goes on unchanged."""
     offer = set_up.offer
     headers = {"X-Call-Class": offer.class_name, "X-Ring-Limit": str(max(int(set_up.ring_ms), 1))}
     return encode_request("INVITE", offer.number, offer.call, sequence_of(set_up), headers, offer.description)
 
 
-def cancel(set_up: SetUp) -> bytes:
+def cancel(set_up: SetUpAttempt) -> bytes:
     """The attempt is given up."""
     return encode_request("CANCEL", set_up.offer.number, set_up.offer.call, sequence_of(set_up), {})
 
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from pearloom.core.calls import Media, SetUp
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.config import Server
 from pearloom.core.connection import OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
@@ -85,7 +85,7 @@
         return self._side.clock.now_ms()
 
     # --- what the exchange asks for -------------------------------------------------------------------------
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an INVITE."""
         outbound = OutboundSetUp(requests.invite(set_up), set_up, self._may_leave, self._exchange.forwarded)
         if not self._owing:
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pearloom import interface as api
-from pearloom.core.calls import NullCaller, SetUp, SetUpRequest
+from pearloom.core.calls import NullCaller, SetUpAttempt, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.errors import Progress
@@ -28,7 +28,7 @@
 
     discovered = 1
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         self.last = set_up
 
     def give_up(self, server: str, call: str) -> Progress | None:
