--- a/pearloom/core/outcomes.py
+++ b/pearloom/core/outcomes.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class End(Enum):
+class CallOutcome(Enum):
     """How a call's set-up ended, and after it stood the call itself."""
 
     STOOD = "stood"  # within its aim
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -11,7 +11,7 @@
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.errors import AttemptError
 from pearloom.core.logs import log_event
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.core.routing import CallRoute, Router
 from pearloom.interface import Ending
 
@@ -40,13 +40,13 @@
         """The final answer: not here, not now."""
         self.counters.add("refusals_out")
         self.figures.declined(call.offer.kind)
-        self._tell(call, End.REFUSED)
+        self._tell(call, CallOutcome.REFUSED)
 
     def failed(self, call: Call) -> None:
         """The final answer: it came to nothing."""
         self.counters.add("failures_out")
         self.figures.aborted(call.offer.kind)
-        self._tell(call, End.FAILED)
+        self._tell(call, CallOutcome.FAILED)
 
     def stood(self, call: Call) -> None:
         """The final answer: it stands. One after the aim of its class has a line of where its time went."""
@@ -62,13 +62,13 @@
                 attempts=call.attempts, ms=took_ms, last_attempt_ms=now - call.sent_ms,
                 first_choice=call.offer.first_choice,
             )  # fmt: skip
-        self._tell(call, End.LATE if late else End.STOOD)
+        self._tell(call, CallOutcome.LATE if late else CallOutcome.STOOD)
 
     def over(self, call: Call, ending: Ending) -> None:
         """A call that stood is over."""
-        self._tell(call, End.CUT if ending is Ending.RESET else End.ENDED)
+        self._tell(call, CallOutcome.CUT if ending is Ending.RESET else CallOutcome.ENDED)
 
-    def _tell(self, call: Call, end: End) -> None:
+    def _tell(self, call: Call, end: CallOutcome) -> None:
         if self.router is not None and call.way is not None:
             self.router.ended(call.way, call.offer.kind, end, self._clock.now_ms() - call.arrived_ms)
 
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -10,7 +10,7 @@
 
 from pearloom import interface as api
 from pearloom.core.calls import SetUpRequest
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,5 +28,5 @@
     def way(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
 
-    def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
+    def ended(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules; `took_ms` from its arrival."""
--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout import stages
 from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, stage_mark
 from pearloom.rollout.judge import judge
@@ -19,7 +19,7 @@
 CLASSES = ("open-form", "save-answers")
 LOOK_S = 2
 STAGE = stage_mark(1, 0)
-BAD = (End.LATE, End.REFUSED, End.FAILED)
+BAD = (CallOutcome.LATE, CallOutcome.REFUSED, CallOutcome.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
         if second in struck:
             first = next(one for one in fleet if one.version == "new")
             for _ in range(day.burst):
-                _end(first, 0, End.FAILED, now, random)
+                _end(first, 0, CallOutcome.FAILED, now, random)
         if second % LOOK_S == LOOK_S - 1:
             told = {(one.name, 1): one.told(now + 999.0, second) for one in fleet}
             found = judge(told, "new", "old", tolerance)
@@ -96,10 +96,12 @@
         if kind == 1 and one.version == "new":
             failed += day.worse
         shares = (min(late + more / 4.0, 0.4), min(refused + more, 0.5), failed)
-        _end(one, kind, random.choices((*BAD, End.STOOD), (*shares, 1.0 - sum(shares)))[0], now, random)
+        _end(
+            one, kind, random.choices((*BAD, CallOutcome.STOOD), (*shares, 1.0 - sum(shares)))[0], now, random
+        )
 
 
-def _end(one: _Softswitch, kind: int, end: End, now: float, random: Random) -> None:
+def _end(one: _Softswitch, kind: int, end: CallOutcome, now: float, random: Random) -> None:
     at = now + random.uniform(0.0, 999.0)
     one.calls += 1
     one.tally.ended(one.version, one.tally.mark(at), kind, end, random.lognormvariate(4.0, 0.5), at)
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -19,13 +19,13 @@
 
 from pearloom.coordination.port import Snapshot
 from pearloom.coordination.values import decoded
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 
 EVIDENCE = "evidence/"
 FORMAT = 1
 BUCKETS = 32  # of a stage: its longest time is cut into so many
-ENDS = (End.STOOD, End.LATE, End.REFUSED, End.FAILED, End.CUT)
-BAD = (End.LATE, End.REFUSED, End.FAILED, End.CUT)
+ENDS = (CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.REFUSED, CallOutcome.FAILED, CallOutcome.CUT)
+BAD = (CallOutcome.LATE, CallOutcome.REFUSED, CallOutcome.FAILED, CallOutcome.CUT)
 MOST_DELAY_MS, DELAY_DIGITS = 60_000, 2
 MOST_COUNT = 1 << 53
 STAGES = 64  # of one rollout at most: its number and its stage are told in one number
@@ -90,13 +90,15 @@
         self._bucket_ms = max(bucket_ms, 1.0)
         self._ends: dict[tuple[str, int], list[list[int]]] = {}
         self._delays: dict[tuple[str, int], HdrHistogram] = {}
-        self._bursts: dict[tuple[str, int, End], BySecond] = {}
+        self._bursts: dict[tuple[str, int, CallOutcome], BySecond] = {}
 
     def mark(self, now_ms: float) -> int:
         """To be kept with a call that arrives now."""
         return self.stage * BUCKETS + min(int((now_ms - self._began_ms) / self._bucket_ms), BUCKETS - 1)
 
-    def ended(self, version: str, mark: int, kind: int, end: End, took_ms: float, now_ms: float) -> None:
+    def ended(
+        self, version: str, mark: int, kind: int, end: CallOutcome, took_ms: float, now_ms: float
+    ) -> None:
         """An end of a call that arrived with this mark. Stage 0 is none, and holds nothing."""
         if mark // BUCKETS != self.stage or end not in ENDS or not self.stage:
             return
@@ -105,7 +107,7 @@
         while len(rows) <= bucket:
             rows.append([0] * len(ENDS))
         rows[bucket][ENDS.index(end)] += 1
-        if end is not End.CUT:
+        if end is not CallOutcome.CUT:
             histogram = self._delays.get(key)
             if histogram is None:
                 histogram = self._delays[key] = HdrHistogram(1, MOST_DELAY_MS, DELAY_DIGITS)
--- a/pearloom/rollout/guard.py
+++ b/pearloom/rollout/guard.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from math import log
 
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout.evidence import BAD, ENDS, BySecond
 from pearloom.rollout.judge import Finding, Stratum, dispersion, log_evidence
 
@@ -49,7 +49,7 @@
     classes: Sequence[str]
     _counts: dict[tuple[str, int], _Counted] = field(default_factory=dict)
 
-    def ended(self, version: str, kind: int, end: End, now_ms: float) -> None:
+    def ended(self, version: str, kind: int, end: CallOutcome, now_ms: float) -> None:
         """One more end."""
         if end not in ENDS:
             return
@@ -78,12 +78,12 @@
         return worst.told(rate) if worst is not None and worst.log_evidence >= need else ""
 
     def _finding(
-        self, name: str, kind: int, end: End, new: str, old: str, tolerance: float
+        self, name: str, kind: int, end: CallOutcome, new: str, old: str, tolerance: float
     ) -> Finding | None:
         under, before = self._counts.get((new, kind)), self._counts.get((old, kind))
         if under is None or before is None:
             return None
-        at, whole = ENDS.index(end), 2 if end is End.CUT else ENDS.index(End.CUT)
+        at, whole = ENDS.index(end), 2 if end is CallOutcome.CUT else ENDS.index(CallOutcome.CUT)
         one = Stratum(
             int(under.ends[at]), int(sum(under.ends[:whole])),
             int(before.ends[at]), int(sum(before.ends[:whole])),
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -18,7 +18,7 @@
 from pearloom.coordination.pace import patience_ms, rank
 from pearloom.core.counters import Counters
 from pearloom.core.logs import log_event, log_exception
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, Followed
@@ -82,7 +82,7 @@
             gevent.sleep(pause_s)
 
     # --- counting -------------------------------------------------------------------------------------------
-    def _ended(self, version: str, mark: int, kind: int, end: End, took_ms: float) -> None:
+    def _ended(self, version: str, mark: int, kind: int, end: CallOutcome, took_ms: float) -> None:
         now = self._now_ms()
         self._tally.ended(version, mark, kind, end, took_ms, now)
         self._own.ended(version, kind, end, now)
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from math import exp, log, log1p
 
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout.evidence import BAD, ENDS, Ends, Evidence, added
 
 RATIOS = (1.25, 1.6, 2.0, 3.0, 5.0, 10.0, 30.0, 100.0)  # of the tolerated rate: the alternatives mixed
@@ -44,7 +44,7 @@
     """One bad end of one class, compared. `log_evidence`: natural logarithm; 0 says nothing."""
 
     kind: str
-    end: End
+    end: CallOutcome
     bad_new: int
     new: int
     bad_old: int
@@ -159,20 +159,22 @@
     findings = [
         _finding(kind, end, rows, told, (new, old), tolerance) for kind in sorted(kinds) for end in BAD
     ]
-    calls = sum(sum(added(sides[0])[: ENDS.index(End.CUT)]) for sides in rows.values())
+    calls = sum(sum(added(sides[0])[: ENDS.index(CallOutcome.CUT)]) for sides in rows.values())
     return Judgement(tuple(findings), _log_mean([one.log_evidence for one in findings]), calls)
 
 
 def _finding(
     kind: str,
-    end: End,
+    end: CallOutcome,
     rows: Mapping[tuple[str, str, int], Sequence[Sequence[Ends]]],
     told: Mapping[tuple[str, int], Evidence],
     versions: tuple[str, str],
     tolerance: float,
 ) -> Finding:
     at, strata = ENDS.index(end), list[Stratum]()
-    whole = slice(0, 2) if end is End.CUT else slice(0, ENDS.index(End.CUT))  # only what stood can be cut
+    whole = (
+        slice(0, 2) if end is CallOutcome.CUT else slice(0, ENDS.index(CallOutcome.CUT))
+    )  # only what stood can be cut
     for (name, _, _), (under, before) in rows.items():
         if name == kind:
             new, old = list(added(under)), list(added(before))
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -17,7 +17,7 @@
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.counters import Counters
 from pearloom.core.logs import log_event
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.core.routing import CallRoute
 from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
 from pearloom.rules.records import EMPTY, RuleSet
@@ -26,7 +26,9 @@
 from pearloom.rules.table import LocalContext, Table
 
 SHELVE_AGAIN_S = 0.05  # between two writes at least
-Tallied = Callable[[str, int, int, End, float], None]  # version, mark, class, end, ms since the arrival
+Tallied = Callable[
+    [str, int, int, CallOutcome, float], None
+]  # version, mark, class, end, ms since the arrival
 
 
 class RulesHost:
@@ -65,7 +67,7 @@
             table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.marked()
         )
 
-    def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
+    def ended(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules."""
         self.tallied(way.version, way.mark, kind, end, took_ms)
 
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from pearloom.coordination.port import Entry, Snapshot
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout import evidence
 from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, added, delays_of, join, stage_mark, told
 
 STAGE = stage_mark(3, 1)
 
 
-def counted(name: str, life: int, ends: list[End], number: int) -> tuple[tuple[str, int], Evidence]:
+def counted(name: str, life: int, ends: list[CallOutcome], number: int) -> tuple[tuple[str, int], Evidence]:
     tally = Tally(("a", "b"), STAGE, 0.0, 100.0)
     for at, end in enumerate(ends):
         tally.ended("v", tally.mark(20.0 * at), at % 2, end, 10.0 + at, 20.0 * at)
@@ -36,7 +36,7 @@
     st.integers(0, 1 << 30),
 )
 def test_doubled_late_and_reordered_values_of_several_lives_merge_alike(
-    lives: list[list[End]], seed: int
+    lives: list[list[CallOutcome]], seed: int
 ) -> None:
     """Each life tells ever more of what it counted; whatever arrives when, the sums are those of the last."""
     values = [
@@ -63,11 +63,11 @@
 def test_a_call_counts_in_its_stage_and_its_piece_of_time_or_nowhere() -> None:
     tally = Tally(("a",), STAGE, 0.0, 1_000.0)
     early, late = tally.mark(500.0), tally.mark(99_000.0)
-    tally.ended("v", early, 0, End.STOOD, 10.0, 5_000.0)
-    tally.ended("v", early, 0, End.CUT, 10.0, 9_000.0)
-    tally.ended("v", late, 0, End.FAILED, 10.0, 99_100.0)
-    tally.ended("v", Tally(("a",), STAGE + 1, 0.0, 1.0).mark(0.0), 0, End.FAILED, 10.0, 99_100.0)
-    tally.ended("v", early, 0, End.ENDED, 10.0, 99_100.0)
+    tally.ended("v", early, 0, CallOutcome.STOOD, 10.0, 5_000.0)
+    tally.ended("v", early, 0, CallOutcome.CUT, 10.0, 9_000.0)
+    tally.ended("v", late, 0, CallOutcome.FAILED, 10.0, 99_100.0)
+    tally.ended("v", Tally(("a",), STAGE + 1, 0.0, 1.0).mark(0.0), 0, CallOutcome.FAILED, 10.0, 99_100.0)
+    tally.ended("v", early, 0, CallOutcome.ENDED, 10.0, 99_100.0)
     counts = tally.evidence(1, 1, "z", 0, 100_000.0).versions["v"]["a"]
     assert counts.ends[0] == (1, 0, 0, 0, 1) and counts.ends[BUCKETS - 1] == (0, 0, 0, 1, 0)
     assert sum(map(sum, counts.ends)) == 3
@@ -77,28 +77,28 @@
     """Guards against a process that holds counts of every version that it ever went by."""
     tally = Tally(("a",), 0, 0.0, 1_000.0)
     for version in range(100):
-        tally.ended(f"{version}", tally.mark(5.0), 0, End.STOOD, 10.0, 5.0)
+        tally.ended(f"{version}", tally.mark(5.0), 0, CallOutcome.STOOD, 10.0, 5.0)
     assert tally.evidence(1, 1, "z", 0, 1_000.0).versions == {}
 
 
 def test_squares_tell_a_burst_from_ends_spread_over_time() -> None:
     burst, spread = Tally(("a",), STAGE, 0.0, 1_000.0), Tally(("a",), STAGE, 0.0, 1_000.0)
     for at in range(10):
-        burst.ended("v", burst.mark(0.0), 0, End.FAILED, 1.0, 100.0 + at)
-        spread.ended("v", spread.mark(0.0), 0, End.FAILED, 1.0, 1_000.0 * at)
+        burst.ended("v", burst.mark(0.0), 0, CallOutcome.FAILED, 1.0, 100.0 + at)
+        spread.ended("v", spread.mark(0.0), 0, CallOutcome.FAILED, 1.0, 1_000.0 * at)
     found = [one.evidence(1, 1, "", 0, 10_000.0).versions["v"]["a"].squares for one in (burst, spread)]
-    assert found[0][evidence.BAD.index(End.FAILED)] == 100
-    assert found[1][evidence.BAD.index(End.FAILED)] == 10
+    assert found[0][evidence.BAD.index(CallOutcome.FAILED)] == 100
+    assert found[1][evidence.BAD.index(CallOutcome.FAILED)] == 10
 
 
 def test_delays_are_added_up_and_spoilt_ones_left_out() -> None:
-    _, one = counted("n1", 1, [End.STOOD] * 10, 1)
+    _, one = counted("n1", 1, [CallOutcome.STOOD] * 10, 1)
     held = [counts.delays for counts in one.versions["v"].values()]
     assert delays_of(held).get_total_count() == 10
     assert delays_of([*held, "HISTF", "", held[0][:-3]]).get_total_count() >= 10
 
 
-SOUND = counted("n1", 7, [End.STOOD], 1)[1]
+SOUND = counted("n1", 7, [CallOutcome.STOOD], 1)[1]
 
 
 @pytest.mark.parametrize(
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.fakes.fleet.days import Day, false_halts, play_day
 from pearloom.rollout.evidence import Evidence, Tally, stage_mark
 from pearloom.rollout.judge import RATIOS, Stratum, bounds, judge, log_evidence
@@ -75,7 +75,7 @@
     assert false_halts(day, 40, 0.05) <= 5
 
 
-def told(name: str, zone: str, ends: dict[str, list[End]]) -> tuple[tuple[str, int], Evidence]:
+def told(name: str, zone: str, ends: dict[str, list[CallOutcome]]) -> tuple[tuple[str, int], Evidence]:
     tally = Tally(("a",), STAGE, 0.0, 1_000.0)
     for version, made in ends.items():
         for at, end in enumerate(made):
@@ -86,14 +86,14 @@
 
 def test_a_zone_that_is_lost_is_compared_with_itself() -> None:
     """Guards against taking a lost zone for a bad rule: the stage's one softswitch stands in it."""
-    lost, well = [End.FAILED, End.FAILED] * 30, [End.STOOD] * 60
+    lost, well = [CallOutcome.FAILED, CallOutcome.FAILED] * 30, [CallOutcome.STOOD] * 60
     others = [told(name, "b", {"old": well}) for name in ("n3", "n4", "n5")]
     held = dict([told("n1", "a", {"new": lost}), told("n2", "a", {"old": lost}), *others])
     assert not judge(held, "new", "old", TOLERANCE).regressed(RATE)
     alone = {key: one for key, one in held.items() if key[0] != "n2"}
     found = judge(alone, "new", "old", TOLERANCE)
     assert found.regressed(RATE), "where nobody else is in its zone, all others are what there is"
-    assert found.worst is not None and found.worst.end is End.FAILED
+    assert found.worst is not None and found.worst.end is CallOutcome.FAILED
 
 
 def test_seeds_play_the_same_day_again() -> None:
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -18,7 +18,7 @@
 )
 
 from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
@@ -31,7 +31,7 @@
 ZONES = {"n1": "a", "n2": "b", "n3": "b"}
 TERMS = Terms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
 names = st.sampled_from(sorted(ZONES))
-ends = st.sampled_from([End.STOOD, End.STOOD, End.LATE, End.FAILED])
+ends = st.sampled_from([CallOutcome.STOOD, CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.FAILED])
 
 
 class Softswitch:
@@ -97,7 +97,7 @@
             one.heard[other] = self.now
 
     @rule(name=names, ends=st.lists(ends, max_size=8))
-    def takes_calls(self, name: str, ends: list[End]) -> None:
+    def takes_calls(self, name: str, ends: list[CallOutcome]) -> None:
         one = self.fleet[name]
         version = one.obeyed.runs(name) if one.obeyed else EMPTY
         for end in ends:
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pearloom.coordination.port import Entry, Snapshot
-from pearloom.core.outcomes import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout import confirm, stages, steps
 from pearloom.rollout.confirm import Confirmation
 from pearloom.rollout.evidence import Evidence, Tally, stage_mark
@@ -29,18 +29,20 @@
 Told = dict[tuple[str, int], Evidence]
 
 
-def told(name: str, version: str, ends: list[End], stage: int = 0, broken: int = 0) -> Told:
+def told(name: str, version: str, ends: list[CallOutcome], stage: int = 0, broken: int = 0) -> Told:
     tally = Tally(("a",), stage_mark(4, stage), 0.0, 2_000.0)
     for at, end in enumerate(ends):
         tally.ended(version, tally.mark(200.0 * at), 0, end, 10.0, 200.0 * at)
     return {(name, 1): tally.evidence(1, 1, ZONES[name], broken, 12_000.0)}
 
 
-WELL = told("n1", NEW, [End.STOOD] * 30) | told("n2", OLD, [End.STOOD] * 30)
+WELL = told("n1", NEW, [CallOutcome.STOOD] * 30) | told("n2", OLD, [CallOutcome.STOOD] * 30)
 SAID = {"n1": Confirmation(1, 1, 4, NEW)}
 LEFT = {"n1": Confirmation(1, 1, 4, OLD, 4, "worse")}
 SEEN = Seen(12_000.0, 0.0, {"n1": 11_000.0}, WELL, SAID, ZONES)
-BAD = told("n1", NEW, [End.FAILED, End.STOOD] * 30) | told("n2", OLD, [End.STOOD] * 60)
+BAD = told("n1", NEW, [CallOutcome.FAILED, CallOutcome.STOOD] * 30) | told(
+    "n2", OLD, [CallOutcome.STOOD] * 60
+)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +53,7 @@
         (replace(SEEN, now_ms=9_000.0), None, ""),  # soak
         (replace(SEEN, said={}), None, ""),  # not confirmed
         (replace(SEEN, said={"n1": Confirmation(1, 1, 4, OLD)}), None, ""),
-        (replace(SEEN, told=told("n2", OLD, [End.STOOD] * 30)), None, ""),  # nothing told of the stage
+        (replace(SEEN, told=told("n2", OLD, [CallOutcome.STOOD] * 30)), None, ""),  # nothing told of the stage
         (replace(SEEN, away_ms=9_000.0), Operation.HALTED, "nobody could write to the store for 9 s"),
         (replace(SEEN, said=LEFT), Operation.HALTED, "n1 went back by itself"),
         (replace(SEEN, said=SAID | {"n1": Confirmation(1, 1, 4, NEW, 3, "old")}), Operation.WIDENED, ""),
@@ -60,12 +62,12 @@
             Operation.HALTED,
             "2 decisions broke at n1",
         ),
-        (replace(SEEN, told=WELL | told("n2", OLD, [End.STOOD] * 9, broken=2)), Operation.WIDENED, ""),
+        (replace(SEEN, told=WELL | told("n2", OLD, [CallOutcome.STOOD] * 9, broken=2)), Operation.WIDENED, ""),
         (replace(SEEN, now_ms=17_000.0), Operation.HALTED, "n1 has told nothing for 6.0 s"),
         (replace(SEEN, heard_ms={}, now_ms=4_000.0), None, ""),
         (replace(SEEN, heard_ms={}, now_ms=6_000.0), Operation.HALTED, "n1 has told nothing"),
         (replace(SEEN, told=BAD), Operation.HALTED, "failed of class a: 30 of 60 new, 0 of 60 old"),
-        (replace(SEEN, now_ms=61_000.0, heard_ms={"n1": 60_500.0}, told=told("n1", NEW, [End.STOOD] * 5)),
+        (replace(SEEN, now_ms=61_000.0, heard_ms={"n1": 60_500.0}, told=told("n1", NEW, [CallOutcome.STOOD] * 5)),
          Operation.HALTED, "5 calls under the new version in 61 s, 20 wanted"),
     ],
 )  # fmt: skip
@@ -92,7 +94,7 @@
 def test_the_last_stage_completes() -> None:
     last = msgspec.structs.replace(ROLLOUT, stage=1)
     there = HeadState(msgspec.structs.replace(THERE.head, rollout=last), mod=9)
-    well = told("n1", NEW, [End.STOOD] * 30, 1) | told("n2", OLD, [End.STOOD] * 30, 1)
+    well = told("n1", NEW, [CallOutcome.STOOD] * 30, 1) | told("n2", OLD, [CallOutcome.STOOD] * 30, 1)
     step = next_step(there, replace(SEEN, told=well), ME, 4)
     assert step is not None and step.did is Operation.COMPLETED
     head: Head = msgspec.json.decode(step.attempt.writes[0].value or b"", type=Head)
@@ -158,13 +160,13 @@
 def test_the_guard_sees_its_own_regress_and_no_other() -> None:
     own = LocalGuard(("a", "b"))
     for at in range(400):
-        own.ended(OLD, 1, End.STOOD if at % 50 else End.FAILED, 100.0 * at)
+        own.ended(OLD, 1, CallOutcome.STOOD if at % 50 else CallOutcome.FAILED, 100.0 * at)
     assert own.regressed(NEW, OLD, 1.25, 0.01) == "", "nothing is known of the new one"
     for at in range(100):
-        own.ended(NEW, 1, End.STOOD if at % 50 else End.FAILED, 50_000.0 + 100.0 * at)
+        own.ended(NEW, 1, CallOutcome.STOOD if at % 50 else CallOutcome.FAILED, 50_000.0 + 100.0 * at)
     assert own.regressed(NEW, OLD, 1.25, 0.01) == "", "as before"
     for at in range(100):
-        own.ended(NEW, 1, End.STOOD if at % 3 else End.FAILED, 70_000.0 + 100.0 * at)
+        own.ended(NEW, 1, CallOutcome.STOOD if at % 3 else CallOutcome.FAILED, 70_000.0 + 100.0 * at)
     assert "failed of class b" in own.regressed(NEW, OLD, 1.25, 0.01)
     own.forget(NEW)
     assert own.regressed(NEW, OLD, 1.25, 0.01) == ""
@@ -173,10 +175,10 @@
 def test_the_guard_forgets_and_holds_a_bounded_number_of_versions() -> None:
     own = LocalGuard(("a",))
     for at in range(3 * HALVED_AT):
-        own.ended(OLD, 0, End.STOOD, float(at))
+        own.ended(OLD, 0, CallOutcome.STOOD, float(at))
     assert sum(own._counts[OLD, 0].ends) <= HALVED_AT
     for version in range(50):
-        own.ended(f"{version}", 0, End.STOOD, 0.0)
+        own.ended(f"{version}", 0, CallOutcome.STOOD, 0.0)
     own.keep([OLD])
     assert list(own._counts) == [(OLD, 0)]
 
