--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -21,7 +21,7 @@
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.set_up_validation import OfferRules
+from pearloom.core.set_up_validation import SetUpValidator
 
 CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
 BASE_MB = 14.0  # what the program takes with no connection
@@ -58,7 +58,7 @@
         self._yielded_since = math.inf
         self._looks = False
         self._clock = clock
-        self._rules = OfferRules(config)
+        self._rules = SetUpValidator(config)
         self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.most_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
         self.most = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
--- a/pearloom/core/set_up_validation.py
+++ b/pearloom/core/set_up_validation.py
@@ -14,7 +14,7 @@
 _NO_CALL = "0" * 16
 
 
-class OfferRules:
+class SetUpValidator:
     """Turns what a caller said into an offer, or into nothing.
 
     Guards against figures that no call can have: a server would fail the set-up, or close on it a connection
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -14,7 +14,7 @@
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.set_up_validation import OfferRules
+from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import Admission
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NETWORK_OUT_OF_ORDER, CAUSE_TEMPORARY_FAILURE
@@ -75,7 +75,7 @@
         clock: Clock,
         counters: Counters,
         settings: Iax2,
-        rules: OfferRules,
+        rules: SetUpValidator,
         takes_work: Callable[[], bool],
         refuses: Callable[[], bool],
     ) -> None:
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -6,7 +6,7 @@
 
 from pearloom.core.calls import SetUpAttempt, SetUpRequest
 from pearloom.core.errors import Malformed
-from pearloom.core.set_up_validation import OfferRules
+from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2.frames import VERSION, Element, Elements, join_description, split_description
 
 Pairs = list[tuple[int, bytes]]
@@ -48,7 +48,9 @@
     return int.from_bytes(value[:8], "big")
 
 
-def read_offer(elements: Elements, rules: OfferRules, default_class: str, mint: str) -> SetUpRequest | str:
+def read_offer(
+    elements: Elements, rules: SetUpValidator, default_class: str, mint: str
+) -> SetUpRequest | str:
     """The set-up in a NEW, or what is wrong with it.
 
     A plain IAX2 caller tells neither id, class nor patience: the id is then `mint`, the class the operator's
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -22,7 +22,7 @@
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
-from pearloom.core.set_up_validation import OfferRules
+from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2.listener import Front, Fronts
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
@@ -100,7 +100,7 @@
             clock,
             counters,
             self.iax2,
-            OfferRules(self._config),
+            SetUpValidator(self._config),
             lambda: callers.takes_work,
             lambda: callers.refuses,
         )
