--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -248,7 +248,7 @@
             if not least <= figures.get(key, least) <= most:
                 return None
         patience = message.text(Code.PATIENCE_MS) or ""
-        return self._rules.offer(
+        return self._rules.validated_request(
             call=message.call,
             class_name=message.text(Code.CLASS),
             tenant_name=message.text(Code.TENANT, absent=""),
--- a/pearloom/core/set_up_validation.py
+++ b/pearloom/core/set_up_validation.py
@@ -32,7 +32,7 @@
         kind = self._kinds.get(class_name)
         return 0.0 if kind is None else self.deadlines_ms[kind]
 
-    def offer(
+    def validated_request(
         self,
         call: str,
         class_name: str | None,
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -69,7 +69,7 @@
     codec = elements.number(Element.FORMAT, 4) or 0
     if codec & (codec - 1):
         return "a format of several codecs"
-    offer = rules.offer(
+    offer = rules.validated_request(
         call=mint if call is None else call.hex(),
         class_name=class_name,
         number=elements.text(Element.CALLED_NUMBER) or "",
