--- a/pearloom/core/recent.py
+++ b/pearloom/core/recent.py
@@ -27,7 +27,7 @@
             self._since.popitem(last=False)
 
 
-class Kept(Generic[T]):
+class RecentValues(Generic[T]):
     """Values by name, each kept for so long; one that is put again counts from then."""
 
     def __init__(self, for_ms: float) -> None:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -12,7 +12,7 @@
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_NORMAL
 from pearloom.core.logs import log_event
-from pearloom.core.recent import Kept
+from pearloom.core.recent import RecentValues
 from pearloom.interface import Ending, PoolState
 from pearloom.servers.directory import Directory
 from pearloom.settings import read_report
@@ -54,8 +54,8 @@
         self.dialling = False
         self._waiting: list[OutboundMessage] = []
         self._set_ups: dict[str, OutboundSetUp] = {}
-        self._given_up = Kept[tuple[str, int]](GIVEN_UP_KEPT_MS)  # call: number, CSeq
-        self._byes = Kept[OutboundMessage](BYE_KEPT_MS)
+        self._given_up = RecentValues[tuple[str, int]](GIVEN_UP_KEPT_MS)  # call: number, CSeq
+        self._byes = RecentValues[OutboundMessage](BYE_KEPT_MS)
         self._liveness = Liveness(side.clock.now_ms())
 
     @property
