--- a/pearloom/core/recent.py
+++ b/pearloom/core/recent.py
@@ -47,7 +47,7 @@
         found = self._held.pop(name, None)
         return None if found is None else found[0]
 
-    def young(self, now_ms: float) -> list[T]:
+    def unexpired(self, now_ms: float) -> list[T]:
         """What is not too old, the oldest first."""
         return [value for value, since in self._held.values() if since >= now_ms - self._for_ms]
 
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -268,7 +268,7 @@
             self._hand_shakes.broke(self.now_ms)
         for set_up in list(link.open.values()):
             self._failed(set_up, AttemptError(set_up.progress, reason, line_only=not self._dead))
-        again = self._byes.young(self.now_ms)
+        again = self._byes.unexpired(self.now_ms)
         if self._links:
             for outbound in again:
                 self._send(outbound)
