--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -29,7 +29,7 @@
 from pearloom.core.established import Standing
 from pearloom.core.logs import log_event
 from pearloom.core.pending_limit import Backlog
-from pearloom.core.recent import Remembered
+from pearloom.core.recent import RecentIds
 from pearloom.core.reporting import Account
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
@@ -67,7 +67,7 @@
         self._tell = self.decider.tell
         self._calls: dict[str, Call] = {}
         self._standing = Standing()
-        self._over = Remembered(REMEMBERED, REMEMBERED_MS)
+        self._over = RecentIds(REMEMBERED, REMEMBERED_MS)
         self._backlog = Backlog(memory_mb)
         self._timers = Timers()
         self.open_elsewhere: set[str] = set()  # open at the other process of an upgrade
--- a/pearloom/core/recent.py
+++ b/pearloom/core/recent.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Remembered:
+class RecentIds:
     """At most so many names, each for so long; the oldest goes first."""
 
     def __init__(self, most: int, for_ms: float) -> None:
