--- a/pearloom/core/established.py
+++ b/pearloom/core/established.py
@@ -7,7 +7,7 @@
 from pearloom.core.calls import Call, Caller
 
 
-class Standing:
+class EstablishedCalls:
     """Holds each call from when it stands until it is over; its owner, the exchange, puts and drops."""
 
     def __init__(self) -> None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -26,7 +26,7 @@
 from pearloom.core.counters import Counters, Figures
 from pearloom.core.decider import Decider, arrival
 from pearloom.core.errors import AttemptError, Progress
-from pearloom.core.established import Standing
+from pearloom.core.established import EstablishedCalls
 from pearloom.core.logs import log_event
 from pearloom.core.pending_limit import Backlog
 from pearloom.core.recent import RecentIds
@@ -66,7 +66,7 @@
         self.decider = Decider(clock, settings, seed, round_ms, self._act)
         self._tell = self.decider.tell
         self._calls: dict[str, Call] = {}
-        self._standing = Standing()
+        self._standing = EstablishedCalls()
         self._over = RecentIds(REMEMBERED, REMEMBERED_MS)
         self._backlog = Backlog(memory_mb)
         self._timers = Timers()
