--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -30,7 +30,7 @@
 from pearloom.core.logs import log_event
 from pearloom.core.pending_limit import Backlog
 from pearloom.core.recent import RecentIds
-from pearloom.core.reporting import Account
+from pearloom.core.reporting import OutcomeReporter
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
 
@@ -62,7 +62,7 @@
         settings = replace(settings, release_us=settings.release_us + RELEASE_MARGIN_US)
         self._clock, self._counters, self._figures = clock, counters, figures
         self.stay_away_ms = settings.stay_away_us(FULL_STAY_AWAY_US) / 1000.0  # told where there is no room
-        self.account = Account(clock, counters, figures, settings.classes)
+        self.account = OutcomeReporter(clock, counters, figures, settings.classes)
         self.decider = Decider(clock, settings, seed, round_ms, self._act)
         self._tell = self.decider.tell
         self._calls: dict[str, Call] = {}
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -16,7 +16,7 @@
 from pearloom.interface import Ending
 
 
-class Account:
+class OutcomeReporter:
     """Nothing here changes a call."""
 
     def __init__(
