--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -80,7 +80,7 @@
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
         self.most_call = MOST_RULES_BYTES + MOST_BYTES
         listing.on_told.append(self._rules.relist)
-        exchange.account.router = self._rules
+        exchange.reporter.router = self._rules
 
     def _cells(self) -> Mapping[str, frozenset[int]]:
         cells: dict[str, set[int]] = defaultdict(set)
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -62,7 +62,7 @@
         settings = replace(settings, release_us=settings.release_us + RELEASE_MARGIN_US)
         self._clock, self._counters, self._figures = clock, counters, figures
         self.stay_away_ms = settings.stay_away_us(FULL_STAY_AWAY_US) / 1000.0  # told where there is no room
-        self.account = OutcomeReporter(clock, counters, figures, settings.classes)
+        self.reporter = OutcomeReporter(clock, counters, figures, settings.classes)
         self.decider = Decider(clock, settings, seed, round_ms, self._act)
         self._tell = self.decider.tell
         self._calls: dict[str, Call] = {}
@@ -155,7 +155,7 @@
         if not self._backlog.has_room(offer) or not caller.is_there:
             self._refuse_unseen(offer, caller)
             return
-        way = self.account.way(offer)
+        way = self.reporter.way(offer)
         self._calls[offer.call] = Call(offer, caller, arrived_ms=self._clock.now_ms(), way=way)
         self._backlog.add(offer)
         self._tell(arrival(offer, way))
@@ -166,7 +166,7 @@
         self._refuse_unseen(offer, caller)
 
     def _refuse_unseen(self, offer: SetUpRequest, caller: Caller) -> None:
-        self.account.unseen(offer)
+        self.reporter.unseen(offer)
         caller.refused(offer.call, self.stay_away_ms)
 
     def refuse_open(self) -> None:
@@ -201,7 +201,7 @@
     def _turn_away(self, call: Call) -> None:
         """Refuse a set-up for a reason of which the decision module knows nothing."""
         name = call.offer.call
-        self.account.refused(call)
+        self.reporter.refused(call)
         self._drop(name, call)
         call.caller.refused(name, self.stay_away_ms)
 
@@ -209,7 +209,7 @@
         """Fail a set-up that its caller made unusable."""
         call = self._calls.get(name)
         if call is not None and not call.answered:
-            self.account.failed(call)
+            self.reporter.failed(call)
             self._drop(name, call)
 
     def _drop(self, name: str, call: Call) -> None:
@@ -245,7 +245,7 @@
         call.current, call.stands, call.stood_ms = -1, True, now
         self._close(call)
         self._standing.put(call)
-        self.account.stood(call)
+        self.reporter.stood(call)
         # The module hears of it first: a caller that can't be told any more ends the call at once.
         self._tell(api.CallStands(name, attempt, call.server, round((now - call.sent_ms) * 1000)))
         call.caller.stands(name, description)
@@ -331,11 +331,11 @@
                 self._send(name, server, timeout_us)
             case api.Refuse(name, wait_us):
                 if (call := self._answered(name)) is not None:
-                    self.account.refused(call)
+                    self.reporter.refused(call)
                     call.caller.refused(name, wait_us / 1000.0)
             case api.Fail(name):
                 if (call := self._answered(name)) is not None:
-                    self.account.failed(call)
+                    self.reporter.failed(call)
                     call.caller.failed(name)
             case api.CancelAttempt(name, attempt):
                 call = self._calls.get(name)
@@ -382,7 +382,7 @@
         """The one end of an attempt that did not stand."""
         attempt, call.current = call.current, -1
         self._counters.add(f"attempts_{ending.name.lower()}")
-        event = self.account.attempt(call, attempt, ending, call.answered, error)
+        event = self.reporter.attempt(call, attempt, ending, call.answered, error)
         self._forget(call)
         self._tell(event)
 
@@ -390,10 +390,10 @@
         """A call that stood is over."""
         self._standing.drop(call)
         call.stands = False
-        self.account.over(call, ending)
+        self.reporter.over(call, ending)
         self._forget(call)
         if call.attempts:  # an inherited call is one of which the module has never heard
-            self._tell(self.account.attempt(call, call.attempts - 1, ending, over=True))
+            self._tell(self.reporter.attempt(call, call.attempts - 1, ending, over=True))
 
     def _close(self, call: Call) -> None:
         """No answer is owed any more, nor is the description needed."""
