--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -28,7 +28,7 @@
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.established import EstablishedCalls
 from pearloom.core.logs import log_event
-from pearloom.core.pending_limit import Backlog
+from pearloom.core.pending_limit import PendingLimit
 from pearloom.core.recent import RecentIds
 from pearloom.core.reporting import OutcomeReporter
 from pearloom.core.timers import Timers
@@ -68,7 +68,7 @@
         self._calls: dict[str, Call] = {}
         self._standing = EstablishedCalls()
         self._over = RecentIds(REMEMBERED, REMEMBERED_MS)
-        self._backlog = Backlog(memory_mb)
+        self._backlog = PendingLimit(memory_mb)
         self._timers = Timers()
         self.open_elsewhere: set[str] = set()  # open at the other process of an upgrade
         self._callers: CallerSide
--- a/pearloom/core/pending_limit.py
+++ b/pearloom/core/pending_limit.py
@@ -8,7 +8,7 @@
 DESCRIBED_SHARE = 1 / 16  # of the memory: their descriptions, which the attempts hold once more
 
 
-class Backlog:
+class PendingLimit:
     """Counts the set-ups that are owed an answer, and the bytes of their descriptions.
 
     Guards against a flood that would cost this process its life."""
