--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -22,7 +22,7 @@
 from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, ConfigError, read_config
-from pearloom.core.counters import Counters, Figures
+from pearloom.core.counters import Counters, Metrics
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import configure, log_event
 from pearloom.servers.coordinator import Coordinator, cached
@@ -63,7 +63,7 @@
             config.settings,
             config.seed,
             self.counters,
-            Figures(config.class_names),
+            Metrics(config.class_names),
             config.round_ms,
             config.memory_mb,
         )
--- a/pearloom/core/counters.py
+++ b/pearloom/core/counters.py
@@ -29,7 +29,7 @@
         log_event(logging.INFO, "counters", **dict(sorted(self._counts.items())), **gauges)
 
 
-class Figures:
+class Metrics:
     """What operators read: how requests ended, by class, and how many attempts left whole. All from 0."""
 
     def __init__(self, class_names: Sequence[str]) -> None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -23,7 +23,7 @@
 )
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
-from pearloom.core.counters import Counters, Figures
+from pearloom.core.counters import Counters, Metrics
 from pearloom.core.decider import Decider, arrival
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.established import EstablishedCalls
@@ -54,7 +54,7 @@
         settings: api.Settings,
         seed: int,
         counters: Counters,
-        figures: Figures,
+        figures: Metrics,
         round_ms: float,
         memory_mb: float,
     ) -> None:
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -8,7 +8,7 @@
 from pearloom import interface as api
 from pearloom.core.calls import Call, SetUpRequest
 from pearloom.core.clock import Clock
-from pearloom.core.counters import Counters, Figures
+from pearloom.core.counters import Counters, Metrics
 from pearloom.core.errors import AttemptError
 from pearloom.core.logs import log_event
 from pearloom.core.outcomes import CallOutcome
@@ -20,7 +20,7 @@
     """Nothing here changes a call."""
 
     def __init__(
-        self, clock: Clock, counters: Counters, figures: Figures, classes: Sequence[api.CallClass]
+        self, clock: Clock, counters: Counters, figures: Metrics, classes: Sequence[api.CallClass]
     ) -> None:
         """Nothing has ended."""
         self._clock, self.counters, self.figures = clock, counters, figures
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -9,7 +9,7 @@
 from pearloom import interface as api
 from pearloom.core.calls import NullCaller, SetUpAttempt, SetUpRequest
 from pearloom.core.clock import Clock
-from pearloom.core.counters import Counters, Figures
+from pearloom.core.counters import Counters, Metrics
 from pearloom.core.errors import Progress
 from pearloom.core.exchange import Exchange
 from tests.helpers import entry, settings
@@ -40,7 +40,7 @@
     took_ms: float, late: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, counters, servers = _Clock(), Counters(), _Servers()
-    exchange = Exchange(clock, settings(), 7, counters, Figures(("a", "b")), 1.0, 64.0)
+    exchange = Exchange(clock, settings(), 7, counters, Metrics(("a", "b")), 1.0, 64.0)
     exchange.attach(None, servers)  # type: ignore[arg-type]  # no caller is told anything here
     exchange._tell(api.PoolList(api.ListKind.CACHED, (entry("s-00000001", 0),)))
     monkeypatch.setattr(logging.getLogger("pearloom"), "propagate", True)
