--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -87,7 +87,7 @@
         )
         routes: Routes = {
             "/v1/readyz": {"GET": lambda ask: self._readiness()},
-            "/v1/metrics": {"GET": lambda ask: Answer(HTTPStatus.OK, self.exchange.figures())},
+            "/v1/metrics": {"GET": lambda ask: Answer(HTTPStatus.OK, self.exchange.metrics_text())},
             "/v1/softswitch/drain": {"POST": lambda ask: self.drain()},
             "/v1/softswitch/activate": {"POST": lambda ask: self.activate()},
         }
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -89,7 +89,7 @@
         """Calls that stand."""
         return len(self._standing)
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """What operators read; a call is outstanding until it is over, not just until it stands."""
         return self._figures.text(
             outstanding=self.open_calls + self.standing_calls,
