--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -245,7 +245,7 @@
             exchange.refuse(offer, self)
             return
         self.open.add(message.call)
-        exchange.offered(offer, self)
+        exchange.handle_set_up(offer, self)
 
     def _ended(self) -> None:
         # Guards against losing set-ups of a caller that closed its sending half alone: they are answered.
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -148,7 +148,7 @@
         return call in self._over
 
     # --- from the callers -----------------------------------------------------------------------------------
-    def offered(self, offer: SetUpRequest, caller: Caller) -> None:
+    def handle_set_up(self, offer: SetUpRequest, caller: Caller) -> None:
         """A new set-up."""
         self._counters.add("set_ups_in")
         # Guards also against set-ups behind a close that is not read yet: nothing would ever end them.
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -262,7 +262,7 @@
             exchange.refuse(offer, leg)
         else:
             leg.offer, leg.codec = offer, offer.codec
-            exchange.offered(offer, leg)
+            exchange.handle_set_up(offer, leg)
 
     def _left(self, leg: CallerLeg, cause: int) -> None:
         offer, leg.offer = leg.offer, None
--- a/tests/races/test_servers.py
+++ b/tests/races/test_servers.py
@@ -93,7 +93,7 @@
     """Guards against doubt, and its pause, over a set-up that a closed connection can't have brought."""
     scene.peers["s1"].close()
     offer = SetUpRequest(CALL, 0, "open-form", "7f3a9c21e0b4d655", b"sdp-c", 3000.0, 0)
-    scene.softswitch.exchange.offered(offer, NullCaller())  # nobody has had a turn since the close
+    scene.softswitch.exchange.handle_set_up(offer, NullCaller())  # nobody has had a turn since the close
     scene.do(("s1", "opens", ""))
     scene.invited("s1")
 
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -45,7 +45,7 @@
     exchange._tell(api.PoolList(api.ListKind.CACHED, (entry("s-00000001", 0),)))
     monkeypatch.setattr(logging.getLogger("pearloom"), "propagate", True)
     with caplog.at_level(logging.INFO, "pearloom"):
-        exchange.offered(SetUpRequest("c1", 0, "a", "1", b"x", 6_000.0, 0), NullCaller())
+        exchange.handle_set_up(SetUpRequest("c1", 0, "a", "1", b"x", 6_000.0, 0), NullCaller())
         clock.at_ms += took_ms
         assert exchange.stands("c1", 0, b"y")
     told = [record for record in caplog.records if record.getMessage() == "answer_late"]
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -31,7 +31,7 @@
     try:
         offer = player.softswitch.callers.read_offer(Message(Type.SET_UP, "00" * 7 + "b0", parameters))
         assert offer is not None
-        exchange.offered(offer, NullCaller())
+        exchange.handle_set_up(offer, NullCaller())
     finally:
         player.close()
     assert isinstance(heard[-1], api.CallArrived) and heard[-1].tenant == tenant
