--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -242,7 +242,7 @@
         if len(self.open) >= MOST_OPEN_EACH or self._side.refuses:
             # Guards against one connection that takes what all callers share, and against one that is never
             # without a set-up and so would outlive a drain.
-            exchange.refuse(offer, self)
+            exchange.refuse_set_up(offer, self)
             return
         self.open.add(message.call)
         exchange.handle_set_up(offer, self)
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -160,7 +160,7 @@
         self._backlog.add(offer)
         self._tell(arrival(offer, way))
 
-    def refuse(self, offer: SetUpRequest, caller: Caller) -> None:
+    def refuse_set_up(self, offer: SetUpRequest, caller: Caller) -> None:
         """A new set-up that the callers' side has no room for; nothing is decided of the call."""
         self._counters.add("set_ups_in")
         self._refuse_unseen(offer, caller)
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -259,7 +259,7 @@
             leg.refused(offer.call, exchange.stay_away_ms)
         elif self._refuses():
             # Guards against callers that stay through a drain and so keep it from its end.
-            exchange.refuse(offer, leg)
+            exchange.refuse_set_up(offer, leg)
         else:
             leg.offer, leg.codec = offer, offer.codec
             exchange.handle_set_up(offer, leg)
