--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -202,7 +202,7 @@
                 break
             if gone >= killed - ANSWER_EARLY_MS:
                 # Guards against set-ups that wait for longer than this process lives.
-                self.exchange.refuse_open()
+                self.exchange.refuse_unanswered()
             gevent.sleep(STOP_LOOK_S)
         # Guards against set-ups that the system still takes while this process is on its way out.
         self.callers.close()
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -169,7 +169,7 @@
         self.reporter.unseen(offer)
         caller.refused(offer.call, self.stay_away_ms)
 
-    def refuse_open(self) -> None:
+    def refuse_unanswered(self) -> None:
         """Turn away every set-up that has no answer yet: this process is about to end."""
         for call in [call for call in self._calls.values() if not call.answered]:
             self._turn_away(call)
