--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -251,7 +251,7 @@
         # Guards against losing set-ups of a caller that closed its sending half alone: they are answered.
         self._peer_ended = True
         for call in list(self.open):
-            self._side.exchange.caller_ended(call)
+            self._side.exchange.handle_caller_eof(call)
         if not self.open:
             self.connection.finish()
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -174,7 +174,7 @@
         for call in [call for call in self._calls.values() if not call.answered]:
             self._turn_away(call)
 
-    def caller_ended(self, name: str) -> None:
+    def handle_caller_eof(self, name: str) -> None:
         """The caller of a set-up sends no more: the attempt that is out may end, another does not begin.
 
         A close and a half-close look alike here, and one that has closed must cost no server any work."""
