--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -185,7 +185,7 @@
     def _expel(self) -> None:
         """Nothing more can be read here: answer what is open, then close."""
         for call in list(self.open):
-            self._side.exchange.spoil(call)
+            self._side.exchange.abort_set_up(call)
             self.failed(call)
         self.connection.finish()
 
@@ -228,7 +228,7 @@
             log_event(logging.WARNING, "caller_duplicate", call=message.call)
             if message.call in self.open:
                 # Neither of the two can be told from the other: none may be served.
-                exchange.spoil(message.call)
+                exchange.abort_set_up(message.call)
                 self.open.discard(message.call)
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -205,7 +205,7 @@
         self._drop(name, call)
         call.caller.refused(name, self.stay_away_ms)
 
-    def spoil(self, name: str) -> None:
+    def abort_set_up(self, name: str) -> None:
         """Fail a set-up that its caller made unusable."""
         call = self._calls.get(name)
         if call is not None and not call.answered:
