--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -152,7 +152,7 @@
     def _undelivered(self, outbound: OutboundMessage) -> None:
         """Guards against a call that stands at a server while its caller never hears of it."""
         if isinstance(outbound, _OutboundAnswer):
-            self._side.exchange.left(outbound.call, Cause.TEMPORARY_FAILURE)
+            self._side.exchange.handle_caller_release(outbound.call, Cause.TEMPORARY_FAILURE)
 
     def _data(self, data: bytes) -> None:
         self._byte_ms = self._side.now_ms()
@@ -197,7 +197,9 @@
                 self._side.talked(self)
                 cause = message.cause
                 self.open.discard(message.call)
-                self._side.exchange.left(message.call, Cause.NORMAL if cause is None else cause)
+                self._side.exchange.handle_caller_release(
+                    message.call, Cause.NORMAL if cause is None else cause
+                )
                 self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_HEARD, message.call))))
             case Type.RELEASE_HEARD:
                 self._side.talked(self)
@@ -260,7 +262,7 @@
             log_event(logging.INFO, "caller_closed", reason=reason, open=len(self.open), unsent=len(unsent))
         self._side.forget(self)
         for call in list(self.open):
-            self._side.exchange.left(call, Cause.NORMAL)
+            self._side.exchange.handle_caller_release(call, Cause.NORMAL)
         self.open.clear()
         for outbound in unsent:
             self._undelivered(outbound)
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -219,7 +219,7 @@
         self._give_up(call, Ending.CANCELLED)
         self._forget(call)
 
-    def left(self, name: str, cause: int) -> None:
+    def handle_caller_release(self, name: str, cause: int) -> None:
         """The caller gave its set-up up, or released its standing call, or can't be reached any more."""
         call = self._calls.get(name)
         if call is None:
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -267,7 +267,7 @@
     def _left(self, leg: CallerLeg, cause: int) -> None:
         offer, leg.offer = leg.offer, None
         if offer is not None:
-            self._exchange.left(offer.call, cause)
+            self._exchange.handle_caller_release(offer.call, cause)
 
     def _over(self, leg: CallerLeg) -> None:
         self._legs.gone(leg)
