--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -236,7 +236,7 @@
             self._drop(name, call)
 
     # --- from the session servers ---------------------------------------------------------------------------
-    def stands(self, name: str, attempt: int, description: bytes) -> bool:
+    def handle_answer(self, name: str, attempt: int, description: bytes) -> bool:
         """The attempt was answered; False where the call does not want it any more."""
         call = self._calls.get(name)
         if call is None or call.current != attempt or call.answered:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -308,7 +308,7 @@
         leg.placed.stands = True
         self._by_theirs[leg.transport.destination] = leg
         self._liveness.stands(leg.source, self.now_ms)
-        if not self._exchange.stands(offer.call, attempt, description or b""):
+        if not self._exchange.handle_answer(offer.call, attempt, description or b""):
             # Guards against an answer that crossed the end of its call: it would stand for nobody.
             self._by_call.pop(offer.call, None)
             self._liveness.over(leg.source)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -388,7 +388,7 @@
             del self._set_ups[call]
             link.open.pop(call, None)
             outbound.progress = Progress.ANSWERED
-            if self._exchange.stands(call, outbound.set_up.attempt, response.body):
+            if self._exchange.handle_answer(call, outbound.set_up.attempt, response.body):
                 return
         if not self._exchange.stands_at(self.name, call):
             # Guards against an answer that crossed a CANCEL: without a BYE the call would stand for nobody.
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -47,7 +47,7 @@
     with caplog.at_level(logging.INFO, "pearloom"):
         exchange.handle_set_up(SetUpRequest("c1", 0, "a", "1", b"x", 6_000.0, 0), NullCaller())
         clock.at_ms += took_ms
-        assert exchange.stands("c1", 0, b"y")
+        assert exchange.handle_answer("c1", 0, b"y")
     told = [record for record in caplog.records if record.getMessage() == "answer_late"]
     assert len(told) == late == counters.get("answers_late")
     if told:
