--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -259,7 +259,7 @@
             given_up, call.given_up = call.given_up, None
             self._settle(call, given_up if given_up and error.ending is None else error.proves(), error)
 
-    def released(self, server: str, name: str, cause: int) -> None:
+    def handle_server_release(self, server: str, name: str, cause: int) -> None:
         """A session server released a call."""
         call = self._calls.get(name)
         if call is not None and call.stands and call.server == server:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -267,13 +267,13 @@
             case HungUp(cause):
                 self._liveness.over(leg.source)
                 self._by_call.pop(call, None)
-                self._exchange.released(self.name, call, cause)
+                self._exchange.handle_server_release(self.name, call, cause)
             case Gone(reason):
                 self._liveness.over(leg.source)
                 self._liveness.doubted(self.now_ms)
                 self._by_call.pop(call, None)
                 log_event(logging.INFO, "iax2_leg_gone", server=self.name, call=call, reason=reason)
-                self._exchange.released(self.name, call, CAUSE_CUT)
+                self._exchange.handle_server_release(self.name, call, CAUSE_CUT)
             case Heard(media):
                 self._side.counters.add("media_from_servers")
                 self._exchange.said_by_server(self.name, call, media)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -354,7 +354,7 @@
         if outbound is not None:
             self._failed(outbound, AttemptError(Progress.ANSWERED, "released", Ending.RESET))
         else:
-            self._exchange.released(self.name, call, cause)
+            self._exchange.handle_server_release(self.name, call, cause)
 
     def _response(self, link: Link, call: str, response: sip.Response) -> None:
         if response.method == "BYE":
