--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -272,7 +272,7 @@
             self._remember(name)
             self._callers.release(name, cause, None)
 
-    def said_by_caller(self, name: str, media: Media) -> None:
+    def relay_caller_media(self, name: str, media: Media) -> None:
         """Pass what a caller says on to the server at which its call stands."""
         call = self._calls.get(name)
         if call is not None and call.stands:
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -233,7 +233,7 @@
                 self._left(leg, CAUSE_TEMPORARY_FAILURE)
             case Heard(media) if leg.offer is not None:
                 self._counters.add("media_from_callers")
-                self._exchange.said_by_caller(leg.offer.call, media)
+                self._exchange.relay_caller_media(leg.offer.call, media)
             case Over():
                 self._over(leg)
 
