--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -278,7 +278,7 @@
         if call is not None and call.stands:
             self._servers.media(call.server, name, media)
 
-    def said_by_server(self, server: str, name: str, media: Media) -> None:
+    def relay_server_media(self, server: str, name: str, media: Media) -> None:
         """Pass what a server says on to the caller, if the call stands there."""
         call = self._calls.get(name)
         if call is not None and call.stands and call.server == server:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -276,7 +276,7 @@
                 self._exchange.handle_server_release(self.name, call, CAUSE_CUT)
             case Heard(media):
                 self._side.counters.add("media_from_servers")
-                self._exchange.said_by_server(self.name, call, media)
+                self._exchange.relay_server_media(self.name, call, media)
             case Over():
                 self._legs.gone(leg)
                 if self._by_theirs.get(leg.transport.destination) is leg:
