--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -284,7 +284,7 @@
         if call is not None and call.stands and call.server == server:
             call.caller.media(name, media)
 
-    def forwarded(self) -> None:
+    def count_forwarded(self) -> None:
         """The last byte of an attempt was written."""
         self._figures.forwarded()
 
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -109,7 +109,7 @@
         self._legs.add(leg)
         self._by_call[call] = leg
         leg.start(self.now_ms)
-        self._exchange.forwarded()
+        self._exchange.count_forwarded()
         self._legs.flush(leg, [])
 
     def give_up(self, call: str) -> Progress | None:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -87,7 +87,9 @@
     # --- what the exchange asks for -------------------------------------------------------------------------
     def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an INVITE."""
-        outbound = OutboundSetUp(requests.invite(set_up), set_up, self._may_leave, self._exchange.forwarded)
+        outbound = OutboundSetUp(
+            requests.invite(set_up), set_up, self._may_leave, self._exchange.count_forwarded
+        )
         if not self._owing:
             self._liveness.owes_from(self.now_ms)
         self._set_ups[outbound.call] = outbound
