--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -288,7 +288,7 @@
         """The last byte of an attempt was written."""
         self._figures.forwarded()
 
-    def reported(self, server: str, report: Mapping[str, float]) -> None:
+    def handle_server_report(self, server: str, report: Mapping[str, float]) -> None:
         """A session server told how many lines are free."""
         self._counters.add("reports_in")
         self._tell(api.PoolReport(server, Ending.ENDED, 0, report))
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -324,4 +324,4 @@
                     logging.WARNING, "server_malformed", server=self.name, reason="circuits", closed=False
                 )
             else:
-                self._exchange.reported(self.name, report)
+                self._exchange.handle_server_report(self.name, report)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -349,7 +349,7 @@
         except ValueError:
             self.malformed(Malformed(f"X-Circuits {figures[:60]!r}", fatal=False))
         else:
-            self._exchange.reported(self.name, report)
+            self._exchange.handle_server_report(self.name, report)
 
     def _released(self, call: str, cause: int) -> None:
         outbound = self._set_ups.get(call)
