--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -293,7 +293,7 @@
         self._counters.add("reports_in")
         self._tell(api.PoolReport(server, Ending.ENDED, 0, report))
 
-    def server_lost(self, server: str, before_ms: float, reason: str) -> None:
+    def handle_server_loss(self, server: str, before_ms: float, reason: str) -> None:
         """A server is dead, or silent for too long: what stood there before that time is cut."""
         cut = [call for call in self._standing.at(server).values() if call.stood_ms < before_ms]
         if not cut:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -164,7 +164,7 @@
         before, self.server = self.server, server
         if server.entry.started_us > before.entry.started_us:
             # Guards against calls of the process before this one, of which nothing will come.
-            self._exchange.server_lost(self.name, server.entry.started_us / 1000.0, "restarted")
+            self._exchange.handle_server_loss(self.name, server.entry.started_us / 1000.0, "restarted")
         if server.address != before.address and self._port is not None:
             # The legs stay: the server knows them by this side's address and number, if it is the same one.
             self._port.close()
@@ -192,7 +192,7 @@
         self._side.counters.add("pings_out", self._legs.ask(look.ask))
 
     def _lost(self, reason: str) -> None:
-        self._exchange.server_lost(self.name, self.now_ms + 1, reason)
+        self._exchange.handle_server_loss(self.name, self.now_ms + 1, reason)
         for leg in [one for one in self._legs.all() if one.placed.stands]:
             # Should it come back with the call, it hears that nobody is there any more.
             self._by_call.pop(leg.placed.set_up.offer.call, None)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -143,7 +143,7 @@
         if server.entry.started_us > before.entry.started_us:
             # Guards against calls that stood on the process before this one, of which nothing will come.
             started_ms = server.entry.started_us / 1000.0
-            self._exchange.server_lost(self.name, started_ms, "restarted")
+            self._exchange.handle_server_loss(self.name, started_ms, "restarted")
             self._links.close_older(started_ms, "restarted")
         if server.entry.state is PoolState.GONE:
             self.watch()
@@ -242,7 +242,7 @@
         """The server is dead, cut off, or not the one that it was."""
         self._waiting = [outbound for outbound in self._waiting if isinstance(outbound, OutboundSetUp)]
         self._byes.clear()
-        self._exchange.server_lost(self.name, self._side.clock.now_ms() + 1, reason)
+        self._exchange.handle_server_loss(self.name, self._side.clock.now_ms() + 1, reason)
         self._dead = True
         self._links.close_all(reason)
         self._dead = False
@@ -302,7 +302,9 @@
         if is_gone or (not self.ready and self._side.address_taken(self)):
             # Guards against taking the process that now has this address, and talks, for the one that had the
             # calls: only a connection from before them can still be the old one's.
-            self._exchange.server_lost(self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced")
+            self._exchange.handle_server_loss(
+                self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced"
+            )
         if is_gone and self.now_ms - self._links.heard_ms() >= QUIET_MS:
             self._lost("gone")
         elif not is_gone and self._liveness.is_quiet(self.now_ms):
