--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -80,7 +80,7 @@
         if installation is not None:
             sides = installation.join(self.exchange, clock, self.counters, self.callers, self.servers, makers)
         self.exchange.attach(sides, self.servers)
-        self.listing = PoolView(self.exchange.told)
+        self.listing = PoolView(self.exchange.handle_pool_list)
         self.listing.told(api.ListKind.CACHED, cached(config.known))
         self.coordinator = Coordinator(
             config.coordinator, config.known_index, self.listing, self.counters, config.zone_names
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -305,7 +305,7 @@
             self._ended(call, Ending.RESET)
 
     # --- from the coordinator -------------------------------------------------------------------------------
-    def told(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
+    def handle_pool_list(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
         """The pool list, or changes to it."""
         self._servers.listed(servers, whole=kind is not api.ListKind.CHANGES)
         self._tell(api.PoolList(kind, tuple(server.entry for server in servers)))
--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -245,7 +245,7 @@
     scene = Scene(tmp_path)
     try:
         told = Server(PoolEntry("s-00000009", 4, PoolState.READY), ("127.0.0.1", 1), "east")
-        scene.softswitch.exchange.told(ListKind.CHANGES, [told])
+        scene.softswitch.exchange.handle_pool_list(ListKind.CHANGES, [told])
         scene.softswitch.handover.listen(path)
         legacy = handover.ask(path)
         assert legacy is not None
