--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -168,7 +168,9 @@
 
     def print_counters(self) -> None:
         """Log what has been counted and what is held."""
-        self.counters.print(open_calls=self.exchange.open_calls, standing_calls=self.exchange.standing_calls)
+        self.counters.print(
+            open_calls=self.exchange.open_calls, standing_calls=self.exchange.established_calls
+        )
 
     def reload(self, environment: Mapping[str, str]) -> None:
         """Read the configuration again and follow the coordinator that it names; all calls go on.
@@ -197,7 +199,7 @@
                 break
             if yielded and not self.exchange.open_calls + self.callers.connections:
                 break  # what stands is the other process's
-            held = self.exchange.open_calls + self.exchange.standing_calls
+            held = self.exchange.open_calls + self.exchange.established_calls
             if gone >= STILL_COMING_MS and not held and self.callers.is_quiet:
                 break
             if gone >= killed - ANSWER_EARLY_MS:
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -253,7 +253,7 @@
             line = encode(first)
             plain_socket.send_fds(sock, [line[:1]], [listener.fileno()])
             sock.sendall(line[1:])
-            log_event(logging.INFO, "handover_begun", standing_calls=self._exchange.standing_calls)
+            log_event(logging.INFO, "handover_begun", standing_calls=self._exchange.established_calls)
             gevent.spawn(self._tell, other, self._changes())
             while (message := other.channel.hear()) is not None:
                 self._heard_from_younger(other, message)
--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -69,7 +69,7 @@
         hands = MaintenanceCallbacks(
             drain,
             activate,
-            idle=lambda: not exchange.open_calls + exchange.standing_calls,
+            idle=lambda: not exchange.open_calls + exchange.established_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
             halted=lambda: self._rollout.halted,
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -153,7 +153,7 @@
 
         A connection stays until all that it brought is over: what carries no call is idle. For calls whose
         own connection is gone, the last that dealt with a call stays."""
-        if not self.drained or self.yielded or not self.exchange.standing_calls:
+        if not self.drained or self.yielded or not self.exchange.established_calls:
             return set()  # or the other process has them
         brought = set(self.exchange.callers_of_standing())
         kept = {caller for caller in self._connections if caller in brought}
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -85,14 +85,14 @@
         return self._backlog.count
 
     @property
-    def standing_calls(self) -> int:
+    def established_calls(self) -> int:
         """Calls that stand."""
         return len(self._standing)
 
     def metrics_text(self) -> str:
         """What operators read; a call is outstanding until it is over, not just until it stands."""
         return self._figures.text(
-            outstanding=self.open_calls + self.standing_calls,
+            outstanding=self.open_calls + self.established_calls,
             discovered=self._servers.discovered,
             ejected=self.decider.avoided,
         )
