--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -97,7 +97,7 @@
             ejected=self.decider.avoided,
         )
 
-    def standing_at(self, server: str) -> int:
+    def established_at(self, server: str) -> int:
         """Calls that stand at this server."""
         return len(self._standing.at(server))
 
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -160,7 +160,7 @@
     def dial_all(self) -> None:
         """Open a further connection to each server where anything stands."""
         for trunk in self._trunks.values():
-            if self.exchange.standing_at(trunk.name):
+            if self.exchange.established_at(trunk.name):
                 trunk.dial()
 
     def finish(self) -> None:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -66,7 +66,7 @@
     @property
     def _owing(self) -> bool:
         """Is anything to come from it?"""
-        return bool(self._set_ups) or self._exchange.standing_at(self.name) > 0
+        return bool(self._set_ups) or self._exchange.established_at(self.name) > 0
 
     @property
     def idle(self) -> bool:
@@ -231,11 +231,11 @@
             self._lost("refused")
         elif self._liveness.is_dead(self.now_ms):
             self._lost("silent")
-        elif self._exchange.standing_at(self.name) or self._waiting:
+        elif self._exchange.established_at(self.name) or self._waiting:
             self._side.exchange.after_ms(REDIAL_MS, self._redial)
 
     def _redial(self) -> None:
-        if self._exchange.standing_at(self.name) or self._waiting:
+        if self._exchange.established_at(self.name) or self._waiting:
             self.dial()
 
     def _lost(self, reason: str) -> None:
@@ -274,7 +274,7 @@
         if self._links:
             for outbound in again:
                 self._send(outbound)
-            if self._exchange.standing_at(self.name) and not self._dead:
+            if self._exchange.established_at(self.name) and not self._dead:
                 # Guards against a release that was written to the connection that ended: the server sends it
                 # again on the next one that is opened.
                 pause_ms = self._hand_shakes.after_close(self.now_ms)
@@ -282,7 +282,7 @@
                     self._side.exchange.after_ms(pause_ms, self._dial_after_close)
             return
         self._waiting += [outbound for outbound in again if outbound not in self._waiting]
-        if self._exchange.standing_at(self.name) or self._waiting:
+        if self._exchange.established_at(self.name) or self._waiting:
             if not self.ready and self._side.address_taken(self):
                 # Guards against taking the process that now has this address for the one that had the calls.
                 self._lost("replaced")
@@ -290,7 +290,7 @@
                 self.dial()
 
     def _dial_after_close(self) -> None:
-        if self._exchange.standing_at(self.name):
+        if self._exchange.established_at(self.name):
             self._dial_another()
 
     def watch(self) -> None:
