--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -101,7 +101,7 @@
         """Calls that stand at this server."""
         return len(self._standing.at(server))
 
-    def stands_at(self, server: str, call: str) -> bool:
+    def is_established_at(self, server: str, call: str) -> bool:
         """Does this call stand there?"""
         return call in self._standing.at(server)
 
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -394,7 +394,7 @@
             outbound.progress = Progress.ANSWERED
             if self._exchange.handle_answer(call, outbound.set_up.attempt, response.body):
                 return
-        if not self._exchange.stands_at(self.name, call):
+        if not self._exchange.is_established_at(self.name, call):
             # Guards against an answer that crossed a CANCEL: without a BYE the call would stand for nobody.
             self.release(call, number, CAUSE_NORMAL)
 
