--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -291,7 +291,7 @@
 
         def look() -> list[Message]:
             nonlocal standing, opened, held
-            now = {call: rest for call, *rest in self._exchange.standing()}
+            now = {call: rest for call, *rest in self._exchange.list_established()}
             begun = [[call, *now[call]] for call in now if call not in standing]
             over = [call for call in standing if call not in now]
             open_now = self._exchange.open_ids()
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -105,7 +105,7 @@
         """Does this call stand there?"""
         return call in self._standing.at(server)
 
-    def standing(self) -> Iterator[tuple[str, str, str, float]]:
+    def list_established(self) -> Iterator[tuple[str, str, str, float]]:
         """Each call that stands: its id, its server, the number called, since when."""
         return self._standing.listed()
 
