--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -352,7 +352,7 @@
 
     def _over(self) -> list[Message]:
         """Inherited calls that ended here: the elder has nothing more to do for them."""
-        over = [call for call in self._inherited if not self._exchange.is_standing(call)]
+        over = [call for call in self._inherited if not self._exchange.is_established(call)]
         self._inherited.difference_update(over)
         return [{"say": "over", "calls": over}] if over else []
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -127,10 +127,10 @@
 
     def drop(self, name: str) -> None:
         """The other process of an upgrade has dealt with the end of this standing call."""
-        if self.is_standing(name):
+        if self.is_established(name):
             self._ended(self._calls[name], Ending.ENDED)
 
-    def is_standing(self, name: str) -> bool:
+    def is_established(self, name: str) -> bool:
         """Does this call stand?"""
         call = self._calls.get(name)
         return call is not None and call.stands
