--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -155,7 +155,7 @@
         own connection is gone, the last that dealt with a call stays."""
         if not self.drained or self.yielded or not self.exchange.established_calls:
             return set()  # or the other process has them
-        brought = set(self.exchange.callers_of_standing())
+        brought = set(self.exchange.callers_of_established())
         kept = {caller for caller in self._connections if caller in brought}
         return kept or set(islice(reversed(self._talkers), 1))
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -135,7 +135,7 @@
         call = self._calls.get(name)
         return call is not None and call.stands
 
-    def callers_of_standing(self) -> Iterator[Caller]:
+    def callers_of_established(self) -> Iterator[Caller]:
         """Who brought the calls that stand, at each server the youngest call first."""
         return self._standing.callers()
 
