--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -163,7 +163,7 @@
             elif message.fatal:
                 self._malformed(message)
                 self._expel()
-            elif not self._malformed(message).is_open(message.call):
+            elif not self._malformed(message).has_call(message.call):
                 # Guards against a caller that waits for a word on what could not be read.
                 self._send_release(message.call, Cause.INVALID_SET_UP)
         if not self._decoder.inside:
@@ -214,7 +214,7 @@
             case _:
                 self._side.counters.add("malformed_from_callers")
                 log_event(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
-                if not self._side.exchange.is_open(message.call):
+                if not self._side.exchange.has_call(message.call):
                     self._send_release(message.call, Cause.UNKNOWN_TYPE)
 
     def _set_up(self, message: Message) -> None:
@@ -224,7 +224,7 @@
             self._side.counters.add("open_elsewhere")
             self.refused(message.call, exchange.stay_away_ms)
             return
-        if exchange.is_open(message.call) or exchange.is_over(message.call):
+        if exchange.has_call(message.call) or exchange.is_over(message.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._side.counters.add("bad_set_ups")
             log_event(logging.WARNING, "caller_duplicate", call=message.call)
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -139,7 +139,7 @@
         """Who brought the calls that stand, at each server the youngest call first."""
         return self._standing.callers()
 
-    def is_open(self, call: str) -> bool:
+    def has_call(self, call: str) -> bool:
         """Is this call held here, unanswered or standing?"""
         return call in self._calls
 
