--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -224,7 +224,7 @@
             self._side.counters.add("open_elsewhere")
             self.refused(message.call, exchange.stay_away_ms)
             return
-        if exchange.has_call(message.call) or exchange.is_over(message.call):
+        if exchange.has_call(message.call) or exchange.is_recently_ended(message.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._side.counters.add("bad_set_ups")
             log_event(logging.WARNING, "caller_duplicate", call=message.call)
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -143,7 +143,7 @@
         """Is this call held here, unanswered or standing?"""
         return call in self._calls
 
-    def is_over(self, call: str) -> bool:
+    def is_recently_ended(self, call: str) -> bool:
         """Was this call here not long ago?"""
         return call in self._over
 
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -249,7 +249,7 @@
         offer.patience_ms -= tokens.age_ms(leg.token, self._now_ms())
         if offer.patience_ms <= 0:
             self.turned_away(leg, CAUSE_TEMPORARY_FAILURE, "too late", 0.0)
-        elif exchange.has_call(offer.call) or exchange.is_over(offer.call):
+        elif exchange.has_call(offer.call) or exchange.is_recently_ended(offer.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._counters.add("bad_set_ups")
             log_event(logging.WARNING, "caller_duplicate", call=offer.call)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -374,7 +374,7 @@
             number, sequence = outbound.set_up.offer.number, sequence_of(outbound.set_up)
         elif (given_up := self._given_up.pop(call)) is not None:
             number, sequence = given_up
-        elif self._exchange.has_call(call) or self._exchange.is_over(call):
+        elif self._exchange.has_call(call) or self._exchange.is_recently_ended(call):
             number, sequence = "unknown", 1
         else:
             # Guards against an answer under an id that nobody sent.
