--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -279,7 +279,7 @@
                 log_event(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
             case "over":
                 for call in message["calls"]:
-                    self._exchange.drop(call)
+                    self._exchange.end_established(call)
             case _:
                 self._heard(message)
 
@@ -338,7 +338,7 @@
             case "over":
                 for call in message["calls"]:
                     self._inherited.discard(call)
-                    self._exchange.drop(call)
+                    self._exchange.end_established(call)
             case "open":
                 self._exchange.open_elsewhere = set(message["calls"])
             case "held":
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -125,7 +125,7 @@
         self._standing.put(call)
         return True
 
-    def drop(self, name: str) -> None:
+    def end_established(self, name: str) -> None:
         """The other process of an upgrade has dealt with the end of this standing call."""
         if self.is_established(name):
             self._ended(self._calls[name], Ending.ENDED)
