--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -53,7 +53,8 @@
         (replace(SEEN, now_ms=9_000.0), None, ""),  # soak
         (replace(SEEN, said={}), None, ""),  # not confirmed
         (replace(SEEN, said={"n1": Confirmation(1, 1, 4, OLD)}), None, ""),
-        (replace(SEEN, told=told("n2", OLD, [CallOutcome.STOOD] * 30)), None, ""),  # nothing told of the stage
+        # nothing told of the stage
+        (replace(SEEN, told=told("n2", OLD, [CallOutcome.STOOD] * 30)), None, ""),
         (replace(SEEN, away_ms=9_000.0), Operation.HALTED, "nobody could write to the store for 9 s"),
         (replace(SEEN, said=LEFT), Operation.HALTED, "n1 went back by itself"),
         (replace(SEEN, said=SAID | {"n1": Confirmation(1, 1, 4, NEW, 3, "old")}), Operation.WIDENED, ""),
@@ -62,12 +63,14 @@
             Operation.HALTED,
             "2 decisions broke at n1",
         ),
-        (replace(SEEN, told=WELL | told("n2", OLD, [CallOutcome.STOOD] * 9, broken=2)), Operation.WIDENED, ""),
+        (replace(SEEN, told=WELL | told("n2", OLD, [CallOutcome.STOOD] * 9, broken=2)),
+         Operation.WIDENED, ""),
         (replace(SEEN, now_ms=17_000.0), Operation.HALTED, "n1 has told nothing for 6.0 s"),
         (replace(SEEN, heard_ms={}, now_ms=4_000.0), None, ""),
         (replace(SEEN, heard_ms={}, now_ms=6_000.0), Operation.HALTED, "n1 has told nothing"),
         (replace(SEEN, told=BAD), Operation.HALTED, "failed of class a: 30 of 60 new, 0 of 60 old"),
-        (replace(SEEN, now_ms=61_000.0, heard_ms={"n1": 60_500.0}, told=told("n1", NEW, [CallOutcome.STOOD] * 5)),
+        (replace(SEEN, now_ms=61_000.0, heard_ms={"n1": 60_500.0},
+                 told=told("n1", NEW, [CallOutcome.STOOD] * 5)),
          Operation.HALTED, "5 calls under the new version in 61 s, 20 wanted"),
     ],
 )  # fmt: skip
