--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -56,7 +56,7 @@
 
     # --- exchange.Caller
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Is the caller's side of the connection open?"""
         return not self.connection.peer_ended
 
--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -64,7 +64,7 @@
     """Whoever brought a call and is owed its one final answer."""
 
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Is it still connected, as far as can be seen at this moment?"""
 
     def stands(self, call: str, description: bytes) -> None:
@@ -83,7 +83,7 @@
 class NullCaller:
     """Stands for the caller of an inherited call: who brought it is not known here."""
 
-    is_there = True
+    is_connected = True
 
     def stands(self, call: str, description: bytes) -> None:
         """Nobody is told."""
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -152,7 +152,7 @@
         """A new set-up."""
         self._counters.add("set_ups_in")
         # Guards also against set-ups behind a close that is not read yet: nothing would ever end them.
-        if not self._backlog.has_room(offer) or not caller.is_there:
+        if not self._backlog.has_room(offer) or not caller.is_connected:
             self._refuse_unseen(offer, caller)
             return
         way = self.reporter.way(offer)
@@ -193,7 +193,7 @@
         if self._clock.now_ms() >= call.sent_ms + call.timeout_ms:
             self._give_up(call, Ending.TIMED_OUT)
             return False
-        if not call.caller.is_there:
+        if not call.caller.is_connected:
             self._turn_away(call)
             return False
         return True
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -45,7 +45,7 @@
 
     # --- exchange.Caller
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Has neither side hung up?"""
         return not self.over
 
