--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -60,7 +60,7 @@
         """Is the caller's side of the connection open?"""
         return not self.connection.peer_ended
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Pass the answer on."""
         self.open.discard(call)
         message = Message(Type.ANSWER, call, {Code.DESCRIPTION: description})
--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -67,7 +67,7 @@
     def is_connected(self) -> bool:
         """Is it still connected, as far as can be seen at this moment?"""
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """The call stands; pass the server's description on."""
 
     def refused(self, call: str, stay_away_ms: float) -> None:
@@ -85,7 +85,7 @@
 
     is_connected = True
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Nobody is told."""
 
     def refused(self, call: str, stay_away_ms: float) -> None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -248,7 +248,7 @@
         self.reporter.stood(call)
         # The module hears of it first: a caller that can't be told any more ends the call at once.
         self._tell(api.CallStands(name, attempt, call.server, round((now - call.sent_ms) * 1000)))
-        call.caller.stands(name, description)
+        call.caller.send_answer(name, description)
         return True
 
     def attempt_ended(self, name: str, attempt: int, error: AttemptError) -> None:
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -49,7 +49,7 @@
         """Has neither side hung up?"""
         return not self.over
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Pass the answer on."""
         self.front.answered(self, description)
 
