--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -66,7 +66,7 @@
         message = Message(Type.ANSWER, call, {Code.DESCRIPTION: description})
         self._send(_OutboundAnswer(isup.encode(message), call))
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turn the set-up away."""
         self.open.discard(call)
         parameters = {int(Code.CAUSE): bytes([Cause.CONGESTION])}
@@ -222,7 +222,7 @@
         if message.call in exchange.open_elsewhere:
             # Guards against a second attempt of a set-up that the process before this one still has open.
             self._side.counters.add("open_elsewhere")
-            self.refused(message.call, exchange.stay_away_ms)
+            self.send_refusal(message.call, exchange.stay_away_ms)
             return
         if exchange.has_call(message.call) or exchange.is_recently_ended(message.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -70,7 +70,7 @@
     def send_answer(self, call: str, description: bytes) -> None:
         """The call stands; pass the server's description on."""
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turned away: trying again is harmless, after that time if it is above 0."""
 
     def failed(self, call: str) -> None:
@@ -88,7 +88,7 @@
     def send_answer(self, call: str, description: bytes) -> None:
         """Nobody is told."""
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Nobody is told."""
 
     def failed(self, call: str) -> None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -167,7 +167,7 @@
 
     def _refuse_unseen(self, offer: SetUpRequest, caller: Caller) -> None:
         self.reporter.unseen(offer)
-        caller.refused(offer.call, self.stay_away_ms)
+        caller.send_refusal(offer.call, self.stay_away_ms)
 
     def refuse_unanswered(self) -> None:
         """Turn away every set-up that has no answer yet: this process is about to end."""
@@ -203,7 +203,7 @@
         name = call.offer.call
         self.reporter.refused(call)
         self._drop(name, call)
-        call.caller.refused(name, self.stay_away_ms)
+        call.caller.send_refusal(name, self.stay_away_ms)
 
     def abort_set_up(self, name: str) -> None:
         """Fail a set-up that its caller made unusable."""
@@ -332,7 +332,7 @@
             case api.Refuse(name, wait_us):
                 if (call := self._answered(name)) is not None:
                     self.reporter.refused(call)
-                    call.caller.refused(name, wait_us / 1000.0)
+                    call.caller.send_refusal(name, wait_us / 1000.0)
             case api.Fail(name):
                 if (call := self._answered(name)) is not None:
                     self.reporter.failed(call)
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -53,7 +53,7 @@
         """Pass the answer on."""
         self.front.answered(self, description)
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turn the set-up away, and say when to come back."""
         self.front.turned_away(self, CAUSE_CONGESTION, "", stay_away_ms)
 
@@ -256,7 +256,7 @@
             self.turned_away(leg, CAUSE_INVALID, "an id that was used before", 0.0)
         elif offer.call in exchange.open_elsewhere:
             self._counters.add("open_elsewhere")
-            leg.refused(offer.call, exchange.stay_away_ms)
+            leg.send_refusal(offer.call, exchange.stay_away_ms)
         elif self._refuses():
             # Guards against callers that stay through a drain and so keep it from its end.
             exchange.refuse_set_up(offer, leg)
