--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -74,7 +74,7 @@
             parameters[Code.STAY_AWAY_MS] = str(round(stay_away_ms)).encode("ascii")
         self._send(OutboundMessage(isup.encode(Message(Type.RELEASE, call, parameters)), call))
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Say that the set-up failed."""
         self.open.discard(call)
         self._send_release(call, Cause.TEMPORARY_FAILURE)
@@ -186,7 +186,7 @@
         """Nothing more can be read here: answer what is open, then close."""
         for call in list(self.open):
             self._side.exchange.abort_set_up(call)
-            self.failed(call)
+            self.send_failure(call)
         self.connection.finish()
 
     def _message(self, message: Message) -> None:
--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -73,7 +73,7 @@
     def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turned away: trying again is harmless, after that time if it is above 0."""
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Given up."""
 
     def media(self, call: str, media: Media) -> None:
@@ -91,7 +91,7 @@
     def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Nobody is told."""
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Nobody is told."""
 
     def media(self, call: str, media: Media) -> None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -336,7 +336,7 @@
             case api.Fail(name):
                 if (call := self._answered(name)) is not None:
                     self.reporter.failed(call)
-                    call.caller.failed(name)
+                    call.caller.send_failure(name)
             case api.CancelAttempt(name, attempt):
                 call = self._calls.get(name)
                 if call is not None:
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -57,7 +57,7 @@
         """Turn the set-up away, and say when to come back."""
         self.front.turned_away(self, CAUSE_CONGESTION, "", stay_away_ms)
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Say that the set-up failed."""
         self.front.turned_away(self, CAUSE_TEMPORARY_FAILURE, "", 0.0)
 
