--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -79,7 +79,7 @@
         self.open.discard(call)
         self._send_release(call, Cause.TEMPORARY_FAILURE)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Signalling alone goes here: what is said in a call reaches the caller as its description says."""
         self._side.counters.add("media_dropped")
 
--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -76,7 +76,7 @@
     def send_failure(self, call: str) -> None:
         """Given up."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """The server's side says something in this standing call."""
 
 
@@ -94,7 +94,7 @@
     def send_failure(self, call: str) -> None:
         """Nobody is told."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Nobody hears it."""
 
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -282,7 +282,7 @@
         """Pass what a server says on to the caller, if the call stands there."""
         call = self._calls.get(name)
         if call is not None and call.stands and call.server == server:
-            call.caller.media(name, media)
+            call.caller.send_media(name, media)
 
     def count_forwarded(self) -> None:
         """The last byte of an attempt was written."""
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -61,7 +61,7 @@
         """Say that the set-up failed."""
         self.front.turned_away(self, CAUSE_TEMPORARY_FAILURE, "", 0.0)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass on what the server's side says."""
         self.front.said(self, media)
 
