--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -155,7 +155,7 @@
         if not self._backlog.has_room(offer) or not caller.is_connected:
             self._refuse_unseen(offer, caller)
             return
-        way = self.reporter.way(offer)
+        way = self.reporter.route_for(offer)
         self._calls[offer.call] = Call(offer, caller, arrived_ms=self._clock.now_ms(), way=way)
         self._backlog.add(offer)
         self._tell(arrival(offer, way))
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -27,9 +27,9 @@
         self._aims_us = [kind.aim_us for kind in classes]
         self.router: Router | None = None  # set where the fleet has routing rules
 
-    def way(self, offer: SetUpRequest) -> CallRoute | None:
+    def route_for(self, offer: SetUpRequest) -> CallRoute | None:
         """The way that the rules of this moment give a call, where there are any."""
-        return self.router.way(offer) if self.router is not None else None
+        return self.router.route_for(offer) if self.router is not None else None
 
     def unseen(self, offer: SetUpRequest) -> None:
         """Refused before anything was decided of it."""
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -25,7 +25,7 @@
 class Router(Protocol):
     """Asked once for each call, at its arrival; nothing of it may wait."""
 
-    def way(self, offer: SetUpRequest) -> CallRoute:
+    def route_for(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
 
     def ended(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -60,7 +60,7 @@
         link.on_change.append(self._changed)
 
     # --- what the exchange asks -----------------------------------------------------------------------------
-    def way(self, offer: SetUpRequest) -> CallRoute:
+    def route_for(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
         table = self._table
         return CallRoute(
