--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -70,7 +70,7 @@
 
     def _tell(self, call: Call, end: CallOutcome) -> None:
         if self.router is not None and call.way is not None:
-            self.router.ended(call.way, call.offer.kind, end, self._clock.now_ms() - call.arrived_ms)
+            self.router.record_outcome(call.way, call.offer.kind, end, self._clock.now_ms() - call.arrived_ms)
 
     def attempt(
         self, call: Call, attempt: int, ending: Ending, over: bool, error: AttemptError | None = None
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -28,5 +28,5 @@
     def route_for(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
 
-    def ended(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
+    def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules; `took_ms` from its arrival."""
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -67,7 +67,7 @@
             table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.marked()
         )
 
-    def ended(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
+    def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules."""
         self.tallied(way.version, way.mark, kind, end, took_ms)
 
