--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -108,7 +108,7 @@
 class ServerSide(Protocol):
     """All session servers."""
 
-    def listed(self, servers: Sequence[Server], whole: bool) -> None:
+    def update_servers(self, servers: Sequence[Server], whole: bool) -> None:
         """The pool list changed."""
 
     @property
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -307,7 +307,7 @@
     # --- from the coordinator -------------------------------------------------------------------------------
     def handle_pool_list(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
         """The pool list, or changes to it."""
-        self._servers.listed(servers, whole=kind is not api.ListKind.CHANGES)
+        self._servers.update_servers(servers, whole=kind is not api.ListKind.CHANGES)
         self._tell(api.PoolList(kind, tuple(server.entry for server in servers)))
         # Guards against a set-up that is queued or half dialled when its server drains. The module knows the
         # new list by now, so none of these goes back there.
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -132,7 +132,7 @@
         return trunk
 
     # --- exchange.ServerSide
-    def listed(self, servers: Sequence[Server], whole: bool) -> None:
+    def update_servers(self, servers: Sequence[Server], whole: bool) -> None:
         """Take the list over; each server that is new gets its connection at once."""
         named = {server.entry.server for server in servers}
         for server in servers:
