--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -38,7 +38,7 @@
 class SetUpAttempt:
     """One attempt to be sent; the offer goes on unchanged."""
 
-    offer: SetUpRequest
+    request: SetUpRequest
     attempt: int
     ring_ms: float
 
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -17,7 +17,7 @@
 
 def offer_elements(set_up: SetUpAttempt, username: str) -> Pairs:
     """A set-up as the elements of a NEW; a codec that its caller named is the only one that is offered."""
-    offer = set_up.offer
+    offer = set_up.request
     codec = offer.codec or ULAW
     pairs: Pairs = [
         (Element.VERSION, VERSION.to_bytes(2, "big")),
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -89,7 +89,7 @@
 
     def set_up(self, set_up: SetUpAttempt) -> None:
         """Send NEW."""
-        call = set_up.offer.call
+        call = set_up.request.call
         try:
             self.dial()
         except OSError as trouble:
@@ -138,7 +138,7 @@
             self._attempt_ended(leg.placed.set_up, AttemptError(Progress.SENT, "given up"))
 
     def _attempt_ended(self, set_up: SetUpAttempt, error: AttemptError) -> None:
-        self._exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
+        self._exchange.attempt_ended(set_up.request.call, set_up.attempt, error)
 
     def withdraw_unsent(self) -> None:
         """Nothing waits here: each frame that starts work asks `ready` before it leaves, the repeats too."""
@@ -195,7 +195,7 @@
         self._exchange.handle_server_loss(self.name, self.now_ms + 1, reason)
         for leg in [one for one in self._legs.all() if one.placed.stands]:
             # Should it come back with the call, it hears that nobody is there any more.
-            self._by_call.pop(leg.placed.set_up.offer.call, None)
+            self._by_call.pop(leg.placed.set_up.request.call, None)
             self._liveness.over(leg.source)
             self._close(leg, CAUSE_CUT)
 
@@ -238,7 +238,7 @@
         return leg
 
     def _event(self, leg: IaxLeg, event: Event) -> None:
-        call = leg.placed.set_up.offer.call
+        call = leg.placed.set_up.request.call
         match event:
             case Answered(description, circuits):
                 self._report(circuits)
@@ -290,12 +290,12 @@
 
     def _ended(self, leg: IaxLeg, error: AttemptError) -> None:
         """The attempt is over without an answer, and the exchange is told once."""
-        if self._by_call.get(leg.placed.set_up.offer.call) is leg:
-            del self._by_call[leg.placed.set_up.offer.call]
+        if self._by_call.get(leg.placed.set_up.request.call) is leg:
+            del self._by_call[leg.placed.set_up.request.call]
             self._attempt_ended(leg.placed.set_up, error)
 
     def _answered(self, leg: IaxLeg, description: bytes | None) -> None:
-        offer, attempt = leg.placed.set_up.offer, leg.placed.set_up.attempt
+        offer, attempt = leg.placed.set_up.request, leg.placed.set_up.attempt
         if description is None and offer.description:
             # Guards against an answer that says nothing of where the call is.
             self._side.counters.add("malformed_from_servers")
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -185,7 +185,7 @@
         if trunk is None or not trunk.ready:
             # The last guard before a server that drains or is gone.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
-            self.exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
+            self.exchange.attempt_ended(set_up.request.call, set_up.attempt, error)
         else:
             trunk.set_up(set_up)
 
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -57,7 +57,7 @@
         on_written: Callable[[], None],
     ) -> None:
         """`may_leave` is asked before its first byte leaves, `on_written` called once its last one has."""
-        super().__init__(data, set_up.offer.call)
+        super().__init__(data, set_up.request.call)
         self.set_up = set_up
         self.link: Link | None = None
         self.sent_ms = 0.0  # when it was given to its connection
--- a/pearloom/sip/requests.py
+++ b/pearloom/sip/requests.py
@@ -15,14 +15,14 @@
 
 def invite(set_up: SetUpAttempt) -> bytes:
     """An attempt; what the caller brought goes on unchanged."""
-    offer = set_up.offer
+    offer = set_up.request
     headers = {"X-Call-Class": offer.class_name, "X-Ring-Limit": str(max(int(set_up.ring_ms), 1))}
     return encode_request("INVITE", offer.number, offer.call, sequence_of(set_up), headers, offer.description)
 
 
 def cancel(set_up: SetUpAttempt) -> bytes:
     """The attempt is given up."""
-    return encode_request("CANCEL", set_up.offer.number, set_up.offer.call, sequence_of(set_up), {})
+    return encode_request("CANCEL", set_up.request.number, set_up.request.call, sequence_of(set_up), {})
 
 
 def ack(call: str, number: str, sequence: int) -> bytes:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -121,7 +121,7 @@
             if outbound.link.heard_ms <= outbound.sent_ms < now - MUTE_FROM_MS:
                 outbound.link.mute_ms = min(outbound.link.mute_ms, now)
                 self._hand_shakes.broke(now)
-            self._given_up.put(call, (outbound.set_up.offer.number, sequence_of(outbound.set_up)), now)
+            self._given_up.put(call, (outbound.set_up.request.number, sequence_of(outbound.set_up)), now)
         return outbound.progress
 
     def withdraw_unsent(self) -> None:
@@ -371,7 +371,7 @@
             log_event(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
             return
         if outbound is not None:
-            number, sequence = outbound.set_up.offer.number, sequence_of(outbound.set_up)
+            number, sequence = outbound.set_up.request.number, sequence_of(outbound.set_up)
         elif (given_up := self._given_up.pop(call)) is not None:
             number, sequence = given_up
         elif self._exchange.has_call(call) or self._exchange.is_recently_ended(call):
