--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -138,7 +138,7 @@
 class Call:
     """One call of this life, from its set-up until it is over."""
 
-    offer: SetUpRequest
+    request: SetUpRequest
     caller: Caller
     attempts: int = 0
     current: int = -1
--- a/pearloom/core/established.py
+++ b/pearloom/core/established.py
@@ -20,11 +20,11 @@
 
     def put(self, call: Call) -> None:
         """It stands at its server from now on."""
-        self._by_server.setdefault(call.server, {})[call.offer.call] = call
+        self._by_server.setdefault(call.server, {})[call.request.call] = call
 
     def drop(self, call: Call) -> None:
         """It is over."""
-        self._by_server[call.server].pop(call.offer.call, None)
+        self._by_server[call.server].pop(call.request.call, None)
 
     def at(self, server: str) -> dict[str, Call]:
         """Those at this server."""
@@ -34,7 +34,7 @@
         """Each call that stands: its id, its server, the number called, since when."""
         for server, calls in self._by_server.items():
             for name, call in calls.items():
-                yield name, server, call.offer.number, call.stood_ms
+                yield name, server, call.request.number, call.stood_ms
 
     def callers(self) -> Iterator[Caller]:
         """Who brought them, at each server the youngest call first."""
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -200,7 +200,7 @@
 
     def _turn_away(self, call: Call) -> None:
         """Refuse a set-up for a reason of which the decision module knows nothing."""
-        name = call.offer.call
+        name = call.request.call
         self.reporter.refused(call)
         self._drop(name, call)
         call.caller.send_refusal(name, self.stay_away_ms)
@@ -229,7 +229,7 @@
                 self._remember(name)
         elif call.stands:
             self._counters.add("released_by_caller")
-            self._servers.release(call.server, name, call.offer.number, cause)
+            self._servers.release(call.server, name, call.request.number, cause)
             self._ended(call, Ending.CANCELLED)
         elif not call.answered:
             self._counters.add("given_up_by_caller")
@@ -301,7 +301,7 @@
         log_event(logging.WARNING, "server_lost", server=server, reason=reason, calls_cut=len(cut))
         for call in cut:
             self._counters.add("cut_with_server")
-            self._callers.release(call.offer.call, CAUSE_CUT, call.caller)
+            self._callers.release(call.request.call, CAUSE_CUT, call.caller)
             self._ended(call, Ending.RESET)
 
     # --- from the coordinator -------------------------------------------------------------------------------
@@ -355,7 +355,7 @@
         call.timeout_ms = timeout_us / 1000.0
         self._counters.add("attempts")
         self.after_ms(call.timeout_ms, lambda: self._give_up(call, Ending.TIMED_OUT, attempt))
-        self._servers.set_up(server, SetUpAttempt(call.offer, attempt, call.timeout_ms))
+        self._servers.set_up(server, SetUpAttempt(call.request, attempt, call.timeout_ms))
 
     def _answered(self, name: str) -> Call | None:
         """The call that is answered with this, or None.
@@ -372,7 +372,7 @@
         """End the attempt that is out, if any; with a number, only that one."""
         if call.current < 0 or call.given_up is not None or attempt not in (None, call.current):
             return
-        progress = self._servers.give_up(call.server, call.offer.call)
+        progress = self._servers.give_up(call.server, call.request.call)
         if progress is None:
             call.given_up = ending  # the module answers the call at its deadline, whatever the server says
             return
@@ -398,12 +398,12 @@
     def _close(self, call: Call) -> None:
         """No answer is owed any more, nor is the description needed."""
         call.answered = True
-        self._backlog.remove(call.offer)
+        self._backlog.remove(call.request)
 
     def _forget(self, call: Call) -> None:
         if call.answered and not call.stands and call.current < 0:
-            self._calls.pop(call.offer.call, None)
-            self._remember(call.offer.call)
+            self._calls.pop(call.request.call, None)
+            self._remember(call.request.call)
 
     def _remember(self, name: str) -> None:
         """Keep the id of a call that is over, so that a late release of it goes to nobody."""
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -39,28 +39,28 @@
     def refused(self, call: Call) -> None:
         """The final answer: not here, not now."""
         self.counters.add("refusals_out")
-        self.figures.declined(call.offer.kind)
+        self.figures.declined(call.request.kind)
         self._tell(call, CallOutcome.REFUSED)
 
     def failed(self, call: Call) -> None:
         """The final answer: it came to nothing."""
         self.counters.add("failures_out")
-        self.figures.aborted(call.offer.kind)
+        self.figures.aborted(call.request.kind)
         self._tell(call, CallOutcome.FAILED)
 
     def stood(self, call: Call) -> None:
         """The final answer: it stands. One after the aim of its class has a line of where its time went."""
         self.counters.add("answers_out")
-        self.figures.succeeded(call.offer.kind)
+        self.figures.succeeded(call.request.kind)
         now = self._clock.now_ms()
         took_ms = now - call.arrived_ms
-        late = took_ms * 1000.0 > self._aims_us[call.offer.kind]
+        late = took_ms * 1000.0 > self._aims_us[call.request.kind]
         if late:
             self.counters.add("answers_late")
             log_event(
-                logging.INFO, "answer_late", call=call.offer.call, server=call.server,
+                logging.INFO, "answer_late", call=call.request.call, server=call.server,
                 attempts=call.attempts, ms=took_ms, last_attempt_ms=now - call.sent_ms,
-                first_choice=call.offer.first_choice,
+                first_choice=call.request.first_choice,
             )  # fmt: skip
         self._tell(call, CallOutcome.LATE if late else CallOutcome.STOOD)
 
@@ -70,14 +70,16 @@
 
     def _tell(self, call: Call, end: CallOutcome) -> None:
         if self.router is not None and call.way is not None:
-            self.router.record_outcome(call.way, call.offer.kind, end, self._clock.now_ms() - call.arrived_ms)
+            self.router.record_outcome(
+                call.way, call.request.kind, end, self._clock.now_ms() - call.arrived_ms
+            )
 
     def attempt(
         self, call: Call, attempt: int, ending: Ending, over: bool, error: AttemptError | None = None
     ) -> api.AttemptEnded:
         """An attempt's end, as the decision module hears of it."""
         return api.AttemptEnded(
-            call=call.offer.call,
+            call=call.request.call,
             attempt=attempt,
             server=call.server,
             ending=ending,
