--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -40,7 +40,7 @@
 
     request: SetUpRequest
     attempt: int
-    ring_ms: float
+    ring_limit_ms: float
 
 
 class MediaKind(Enum):
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -26,7 +26,7 @@
         (Element.FORMAT, codec.to_bytes(4, "big")),
         (Element.CAPABILITY, (offer.codec or ANY_CODEC).to_bytes(4, "big")),
         (Element.CALL, bytes.fromhex(offer.call)),
-        (Element.PATIENCE_MS, max(int(set_up.ring_ms), 1).to_bytes(4, "big")),
+        (Element.PATIENCE_MS, max(int(set_up.ring_limit_ms), 1).to_bytes(4, "big")),
     ]
     if username:
         pairs.append((Element.USERNAME, username.encode("ascii")))
--- a/pearloom/sip/requests.py
+++ b/pearloom/sip/requests.py
@@ -16,7 +16,7 @@
 def invite(set_up: SetUpAttempt) -> bytes:
     """An attempt; what the caller brought goes on unchanged."""
     offer = set_up.request
-    headers = {"X-Call-Class": offer.class_name, "X-Ring-Limit": str(max(int(set_up.ring_ms), 1))}
+    headers = {"X-Call-Class": offer.class_name, "X-Ring-Limit": str(max(int(set_up.ring_limit_ms), 1))}
     return encode_request("INVITE", offer.number, offer.call, sequence_of(set_up), headers, offer.description)
 
 
