--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -23,7 +23,7 @@
     """A set-up as a caller brought it; the description is dropped once the answer has been given."""
 
     call: str
-    kind: int
+    class_index: int
     class_name: str
     number: str
     description: bytes
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -17,7 +17,7 @@
     """A new set-up as the decision module hears of it; `way`: what the fleet's routing rules said of it."""
     return api.CallArrived(
         call=offer.call,
-        kind=offer.kind,
+        kind=offer.class_index,
         tenant=offer.tenant,
         patience_us=round(offer.patience_ms * 1000),
         first_choice=offer.first_choice,
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -34,27 +34,27 @@
     def unseen(self, offer: SetUpRequest) -> None:
         """Refused before anything was decided of it."""
         self.counters.add("refused_unseen")
-        self.figures.declined(offer.kind)
+        self.figures.declined(offer.class_index)
 
     def refused(self, call: Call) -> None:
         """The final answer: not here, not now."""
         self.counters.add("refusals_out")
-        self.figures.declined(call.request.kind)
+        self.figures.declined(call.request.class_index)
         self._tell(call, CallOutcome.REFUSED)
 
     def failed(self, call: Call) -> None:
         """The final answer: it came to nothing."""
         self.counters.add("failures_out")
-        self.figures.aborted(call.request.kind)
+        self.figures.aborted(call.request.class_index)
         self._tell(call, CallOutcome.FAILED)
 
     def stood(self, call: Call) -> None:
         """The final answer: it stands. One after the aim of its class has a line of where its time went."""
         self.counters.add("answers_out")
-        self.figures.succeeded(call.request.kind)
+        self.figures.succeeded(call.request.class_index)
         now = self._clock.now_ms()
         took_ms = now - call.arrived_ms
-        late = took_ms * 1000.0 > self._aims_us[call.request.kind]
+        late = took_ms * 1000.0 > self._aims_us[call.request.class_index]
         if late:
             self.counters.add("answers_late")
             log_event(
@@ -71,7 +71,7 @@
     def _tell(self, call: Call, end: CallOutcome) -> None:
         if self.router is not None and call.way is not None:
             self.router.record_outcome(
-                call.way, call.request.kind, end, self._clock.now_ms() - call.arrived_ms
+                call.way, call.request.class_index, end, self._clock.now_ms() - call.arrived_ms
             )
 
     def attempt(
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -63,7 +63,7 @@
     kind = int(random.random() < WORTH_SHARE)
     return SetUpRequest(
         call=f"{seed & 0xFFFF:04x}{number:012x}",
-        kind=kind,
+        class_index=kind,
         class_name=CLASSES[kind],
         number=f"31{random.randrange(10**9):09d}",
         description=description,
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -64,7 +64,7 @@
         """The way that the rules of this moment give this call."""
         table = self._table
         return CallRoute(
-            table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.marked()
+            table.version, table.route(offer.class_index, offer.tenant, offer.first_choice), self.marked()
         )
 
     def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
