--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -38,7 +38,7 @@
     def written(self) -> None:
         """Its last byte has left."""
 
-    def may_leave(self) -> bool:
+    def may_send(self) -> bool:
         """Asked right before the first byte is written: is this message still wanted?
 
         A message that is not has been withdrawn by the time that this returns False."""
@@ -196,7 +196,7 @@
         # A message that may not leave can take others of the queue with it, even this whole connection.
         for outbound in list(self._queue):
             begun = outbound.progress is Progress.PARTLY_SENT
-            outbound.withdrawn = not begun and (outbound.withdrawn or not outbound.may_leave())
+            outbound.withdrawn = not begun and (outbound.withdrawn or not outbound.may_send())
             if outbound.withdrawn:
                 continue
             if size and size + len(outbound.data) > BATCH_BYTES:
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -64,7 +64,7 @@
         self._may_leave = may_leave
         self._on_written = on_written
 
-    def may_leave(self) -> bool:
+    def may_send(self) -> bool:
         """Is the call still there, and its caller?"""
         return self._may_leave(self)
 
