--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -35,7 +35,7 @@
         self.progress = Progress.NOT_DIALLED
         self.withdrawn = False
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Its last byte has left."""
 
     def may_send(self) -> bool:
@@ -211,7 +211,7 @@
         for outbound in batch:
             if sent >= len(outbound.data):
                 outbound.progress = Progress.SENT
-                outbound.written()
+                outbound.on_written()
                 sent -= len(outbound.data)
             elif sent:
                 outbound.progress = Progress.PARTLY_SENT
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -68,7 +68,7 @@
         """Is the call still there, and its caller?"""
         return self._may_leave(self)
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Its last byte has left."""
         self._on_written()
 
