--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -206,7 +206,7 @@
         for (kind, _), _, caller in sorted(ranked)[:MOST_LOOKS]:
             if closed >= max(EVICTED_SHARE * self.most, 1) or (closed and kind > 1):
                 break
-            if not caller.connection.busy:
+            if not caller.connection.is_busy:
                 closed += 1
                 self.counters.add("caller_connections_closed")
                 caller.connection.close("too many connections")
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -94,7 +94,7 @@
     @property
     def is_busy(self) -> bool:
         """Is a set-up open or half read, or anything left to read or write?"""
-        return bool(self.open) or self._decoder.inside or self.connection.busy
+        return bool(self.open) or self._decoder.inside or self.connection.is_busy
 
     def idle_reason(self, now_ms: float) -> str:
         """Why this connection may be closed, or nothing.
@@ -107,7 +107,7 @@
             return "no whole message"
         still = now_ms - self.heard_ms
         if still > (UNUSED_MS if self.spoke else SILENT_MS) and not self._side.is_talker(self):
-            return "" if self.connection.busy else "unused"
+            return "" if self.connection.is_busy else "unused"
         return ""
 
     def expendable(self, now_ms: float) -> tuple[int, float] | None:
@@ -132,7 +132,7 @@
         answered, and a new one has time to speak."""
         fresh = not self.spoke and now_ms - self._opened_ms < FRESH_MS
         late = emptied_ms > EMPTY_INSIDE_MS
-        if self.open or (not late and (fresh or self._decoder.inside)) or self.connection.busy:
+        if self.open or (not late and (fresh or self._decoder.inside)) or self.connection.is_busy:
             return
         self._side.counters.add("caller_connections_emptied")
         self.connection.close("emptied")
--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -119,7 +119,7 @@
             self.close("failed here")
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Is something still to be written, or has something come that was not read yet?"""
         return bool(self._queue) or (not self.closed and self._polled(select.POLLIN) != 0)
 
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -70,11 +70,11 @@
 
 def test_a_connection_with_something_to_write_or_to_read_is_busy() -> None:
     pair = Pair()
-    assert not pair.connection.busy
+    assert not pair.connection.is_busy
     pair.connection.send(OutboundMessage(b"answer"))
-    assert pair.connection.busy
+    assert pair.connection.is_busy
     with gevent.Timeout(5):
         assert pair.far.recv(100) == b"answer"
-        assert not pair.connection.busy
+        assert not pair.connection.is_busy
         pair.far.sendall(b"set-up")
-        assert pair.connection.busy
+        assert pair.connection.is_busy
