--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -23,7 +23,7 @@
 
 from pearloom.binary.callers import Callers
 from pearloom.core.config import Config, ListUpdate, Server
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event, log_exception
 from pearloom.interface import PoolEntry, PoolState
@@ -226,7 +226,7 @@
 
     # --- as the elder ---------------------------------------------------------------------------------------
     def _accept(self, listener: socket.socket) -> None:
-        for sock in accepted(listener, "handover"):
+        for sock in accept_connections(listener, "handover"):
             gevent.spawn(self._give, sock)
 
     def _give(self, sock: socket.socket) -> None:
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -14,7 +14,7 @@
 from gevent import socket
 
 from pearloom.core.config import Address
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.counters import Counters
 from pearloom.core.logs import log_exception
 
@@ -163,7 +163,7 @@
         return host, port
 
     def _accept(self, listener: socket.socket) -> None:
-        for sock in accepted(listener, "management"):
+        for sock in accept_connections(listener, "management"):
             call = _Call(sock, self._most_bytes)
             self._make_room()
             self._calls[call] = None
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -17,7 +17,7 @@
 from pearloom.core.calls import Caller, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address, Config
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
@@ -178,7 +178,7 @@
         return host, port
 
     def _accept(self, listener: socket.socket) -> None:
-        for number, sock in enumerate(accepted(listener, "callers"), start=1):
+        for number, sock in enumerate(accept_connections(listener, "callers"), start=1):
             self.counters.add("caller_connections")
             if self._make_room():
                 caller = CallerConnection(self, sock, self.now_ms())
--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -224,7 +224,7 @@
             self._sock._wait(self._sock._write_event)  # type: ignore[attr-defined]
 
 
-def accepted(listener: socket.socket, at: str) -> Iterator[socket.socket]:
+def accept_connections(listener: socket.socket, at: str) -> Iterator[socket.socket]:
     """Each new connection, for ever.
 
     Guards against a busy loop when descriptors run out: the connection stays in the queue."""
