--- a/pearloom/core/errors.py
+++ b/pearloom/core/errors.py
@@ -32,7 +32,7 @@
     no_line: bool = False
     line_only: bool = False  # its connection ended; that says nothing of the server
 
-    def proves(self) -> Ending:
+    def implied_ending(self) -> Ending:
         """The ending that this error stands for.
 
         A set-up that did not leave whole never ran; one that did may have, whatever befell its connection."""
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -257,7 +257,9 @@
         if call is not None and call.current == attempt:
             # What was given up ended as that, unless the server itself said otherwise in the meantime.
             given_up, call.given_up = call.given_up, None
-            self._settle(call, given_up if given_up and error.ending is None else error.proves(), error)
+            self._settle(
+                call, given_up if given_up and error.ending is None else error.implied_ending(), error
+            )
 
     def handle_server_release(self, server: str, name: str, cause: int) -> None:
         """A session server released a call."""
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -78,7 +78,7 @@
 )
 def test_what_a_refusal_means(status: int, why: str, ending: api.Ending, full: bool, no_line: bool) -> None:
     error = refusal(status, why)
-    assert (error.proves(), error.processor_full, error.no_line) == (ending, full, no_line)
+    assert (error.implied_ending(), error.processor_full, error.no_line) == (ending, full, no_line)
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
     ],
 )
 def test_how_far_it_came_decides_what_is_proved(progress: Progress, ending: api.Ending) -> None:
-    assert AttemptError(progress, "").proves() is ending
+    assert AttemptError(progress, "").implied_ending() is ending
 
 
 def test_nested_settings_read_like_those_of_the_adapter() -> None:
