--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -59,7 +59,7 @@
         self._looks = False
         self._clock = clock
         self._rules = SetUpValidator(config)
-        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.most_width)}
+        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.max_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
         self.most = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
         self._connections: dict[CallerConnection, None] = {}
--- a/pearloom/core/config.py
+++ b/pearloom/core/config.py
@@ -60,7 +60,7 @@
     class_names: tuple[str, ...]
     tenant_names: tuple[str, ...]
     zone_names: tuple[str, ...]
-    most_width: int
+    max_width: int
     dial_timeout_ms: float
     idle_ms: float  # after which a session server closes a connection that is idle
     handshake_price: float  # points for a new connection a first try
@@ -137,7 +137,7 @@
             class_names=_names("services", told["settings"]["services"]),
             tenant_names=_names("tenants", told["settings"].get("tenants") or ()),
             zone_names=tuple(str(zone) for zone in told["settings"].get("zones") or ()),
-            most_width=max(
+            max_width=max(
                 (int(width) for width in told["settings"].get("specifics", {}).get("channelsNeeded", ())),
                 default=1,
             ),
