--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -168,7 +168,7 @@
 
     def print_counters(self) -> None:
         """Log what has been counted and what is held."""
-        self.counters.print(
+        self.counters.log_all(
             open_calls=self.exchange.open_calls, standing_calls=self.exchange.established_calls
         )
 
--- a/pearloom/core/counters.py
+++ b/pearloom/core/counters.py
@@ -24,7 +24,7 @@
         """What has been counted under this name."""
         return self._counts[name]
 
-    def print(self, **gauges: int) -> None:
+    def log_all(self, **gauges: int) -> None:
         """Log all counts, sorted by name, and the gauges of the moment."""
         log_event(logging.INFO, "counters", **dict(sorted(self._counts.items())), **gauges)
 
