--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -56,7 +56,7 @@
 
     kind: MediaKind
     codec: int  # as RFC 5456 (8.7) numbers them
-    stamp_ms: int  # since its leg began
+    timestamp_ms: int  # since its leg began
     payload: bytes
 
 
--- a/pearloom/iax2/speech.py
+++ b/pearloom/iax2/speech.py
@@ -40,8 +40,8 @@
     def place(self, media: Media, now: int) -> tuple[int, bool]:
         """This leg's time for a piece that has another leg's, and whether it goes as a full frame."""
         if self._shift is None:
-            self._shift = now - media.stamp_ms
-        stamp = max(media.stamp_ms + self._shift, 0)
+            self._shift = now - media.timestamp_ms
+        stamp = max(media.timestamp_ms + self._shift, 0)
         whole = media.codec != self._codec_out or stamp // MINI_SPAN != self._stamp_out // MINI_SPAN
         self._codec_out, self._stamp_out = media.codec, stamp
         return stamp, whole
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -97,7 +97,7 @@
     assert [(one.kind, one.payload) for one in said] == [
         (MediaKind.VOICE, b"hello"), (MediaKind.VOICE, b"again"), (MediaKind.DIGIT, b"5"),
     ]  # fmt: skip
-    assert said[1].stamp_ms - said[0].stamp_ms == 20
+    assert said[1].timestamp_ms - said[0].timestamp_ms == 20
     inside.hang_up(16, 100.0)
     pair.carry()
     assert kinds(pair.told) == [Answered, HungUp, Over] and kinds(pair.heard)[-1] is Over
@@ -274,7 +274,7 @@
         pair.now = float(stamp)
         pair.out.say(Media(MediaKind.VOICE, 4, stamp, b"v"), pair.now)
         pair.carry()
-    said = [event.media.stamp_ms for event in pair.heard if isinstance(event, Heard)]
+    said = [event.media.timestamp_ms for event in pair.heard if isinstance(event, Heard)]
     assert [later - sooner for sooner, later in pairwise(said)] == [200] * 19
 
 
