--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -130,7 +130,7 @@
     def release(self, server: str | None, call: str, number: str, cause: int) -> None:
         """Release a standing call; None where only a session server can know it."""
 
-    def media(self, server: str, call: str, media: Media) -> None:
+    def send_media(self, server: str, call: str, media: Media) -> None:
         """Pass on what a caller says in a standing call."""
 
 
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -278,7 +278,7 @@
         """Pass what a caller says on to the server at which its call stands."""
         call = self._calls.get(name)
         if call is not None and call.stands:
-            self._servers.media(call.server, name, media)
+            self._servers.send_media(call.server, name, media)
 
     def relay_server_media(self, server: str, name: str, media: Media) -> None:
         """Pass what a server says on to the caller, if the call stands there."""
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -151,7 +151,7 @@
             self._liveness.over(leg.source)
             self._close(leg, cause)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass on what the caller says."""
         leg = self._by_call.get(call)
         if leg is not None:
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -58,7 +58,7 @@
     def release(self, call: str, number: str, cause: int) -> None:
         """Release a standing call."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass on what a caller says."""
 
     def watch(self) -> None:
@@ -200,11 +200,11 @@
             if server in (None, trunk.name):
                 trunk.release(call, number, cause)
 
-    def media(self, server: str, call: str, media: Media) -> None:
+    def send_media(self, server: str, call: str, media: Media) -> None:
         """Pass on what a caller says."""
         trunk = self._trunks.get(server)
         if trunk is not None:
-            trunk.media(call, media)
+            trunk.send_media(call, media)
 
 
 def gone(server: Server) -> Server:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -169,7 +169,7 @@
         if may_open and self._links.make_room():
             self.dial()
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Signalling alone goes here: what is said in a call reaches this server as its description says."""
         self._side.counters.add("media_dropped")
 
