--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -19,12 +19,12 @@
 from pearloom.admin.handover import Handover, Legacy, ask, path_of
 from pearloom.admin.management import MOST_BYTES, Answer, Management, Routes, most_calls
 from pearloom.binary.callers import Callers
+from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, ConfigError, read_config
-from pearloom.core.counters import Counters, Figures
+from pearloom.core.counters import Counters, Metrics
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import configure, note
-from pearloom.core.sides import CallerSide
+from pearloom.core.logs import configure, log_event
 from pearloom.servers.coordinator import Coordinator, merge_updates
 from pearloom.servers.directory import SIP, Directory, TrunkFactory
 from pearloom.servers.discovery import PoolView
@@ -63,7 +63,7 @@
             config.settings,
             config.seed,
             self.counters,
-            Figures(config.class_names),
+            Metrics(config.class_names),
             config.round_ms,
             config.memory_mb,
         )
@@ -80,14 +80,14 @@
         if installation is not None:
             sides = installation.join(self.exchange, clock, self.counters, self.callers, self.servers, makers)
         self.exchange.attach(sides, self.servers)
-        self.listing = PoolView(self.exchange.told)
+        self.listing = PoolView(self.exchange.handle_pool_list)
         self.listing.apply_event(api.ListKind.CACHED, merge_updates(config.known))
         self.coordinator = Coordinator(
             config.coordinator, config.known_index, self.listing, self.counters, config.zone_names
         )
         routes: Routes = {
             "/v1/readyz": {"GET": lambda ask: self._readiness()},
-            "/v1/metrics": {"GET": lambda ask: Answer(HTTPStatus.OK, self.exchange.figures())},
+            "/v1/metrics": {"GET": lambda ask: Answer(HTTPStatus.OK, self.exchange.metrics_text())},
             "/v1/softswitch/drain": {"POST": lambda ask: self.drain()},
             "/v1/softswitch/activate": {"POST": lambda ask: self.activate()},
         }
@@ -138,7 +138,7 @@
             gevent.sleep(TICK_S)
             late_ms = self._clock.now_ms() - looked
             if late_ms > LATE_MS:
-                note(logging.WARNING, "late", by_ms=late_ms)
+                log_event(logging.WARNING, "late", by_ms=late_ms)
             if late_ms > READ_FIRST_MS:
                 # Guards against timers that act before what came meanwhile is read: closes of callers, the
                 # pool list, answers.
@@ -154,21 +154,23 @@
 
     def drain(self) -> Answer:
         """Empty this softswitch; harmless at any time."""
-        note(logging.INFO, "draining", open_calls=self.exchange.open_calls)
+        log_event(logging.INFO, "draining", open_calls=self.exchange.open_calls)
         self.callers.drain()
         self.handover.drain(True)
         return Answer(HTTPStatus.OK, "draining\n")
 
     def activate(self) -> Answer:
         """End the drain; harmless at any time."""
-        note(logging.INFO, "active")
+        log_event(logging.INFO, "active")
         self.callers.activate()
         self.handover.drain(False)
         return Answer(HTTPStatus.OK, "active\n")
 
     def print_counters(self) -> None:
         """Log what has been counted and what is held."""
-        self.counters.print(open_calls=self.exchange.open_calls, standing_calls=self.exchange.standing_calls)
+        self.counters.log_all(
+            open_calls=self.exchange.open_calls, standing_calls=self.exchange.established_calls
+        )
 
     def reload(self, environment: Mapping[str, str]) -> None:
         """Read the configuration again and follow the coordinator that it names; all calls go on.
@@ -177,10 +179,10 @@
         try:
             config = read_config(environment)
         except ConfigError as trouble:
-            note(logging.ERROR, "reload_failed", reason=str(trouble))
+            log_event(logging.ERROR, "reload_failed", reason=str(trouble))
             return
         host, port = config.coordinator
-        note(logging.INFO, "reloaded", coordinator=f"{host}:{port}")
+        log_event(logging.INFO, "reloaded", coordinator=f"{host}:{port}")
         for update in config.known:
             self.coordinator.apply_event(update)
         self.coordinator.move(config.coordinator)
@@ -197,12 +199,12 @@
                 break
             if yielded and not self.exchange.open_calls + self.callers.connections:
                 break  # what stands is the other process's
-            held = self.exchange.open_calls + self.exchange.standing_calls
+            held = self.exchange.open_calls + self.exchange.established_calls
             if gone >= STILL_COMING_MS and not held and self.callers.is_idle:
                 break
             if gone >= killed - ANSWER_EARLY_MS:
                 # Guards against set-ups that wait for longer than this process lives.
-                self.exchange.refuse_open()
+                self.exchange.refuse_unanswered()
             gevent.sleep(STOP_LOOK_S)
         # Guards against set-ups that the system still takes while this process is on its way out.
         self.callers.close()
@@ -253,12 +255,12 @@
     gevent.signal_handler(signal.SIGHUP, softswitch.reload, os.environ)
     gc.freeze()
     gc.set_threshold(GC_YOUNG)
-    note(logging.INFO, "started", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
+    log_event(logging.INFO, "started", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     stop.wait()
-    note(logging.INFO, "stopping")
+    log_event(logging.INFO, "stopping")
     softswitch.stop()
     softswitch.print_counters()
-    note(logging.INFO, "stopped")
+    log_event(logging.INFO, "stopped")
     return 0
 
 
--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -69,7 +69,7 @@
         hands = MaintenanceCallbacks(
             drain,
             activate,
-            is_idle=lambda: not exchange.open_calls + exchange.standing_calls,
+            is_idle=lambda: not exchange.open_calls + exchange.established_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
             halted=lambda: self._rollout.has_recent_halt,
@@ -80,7 +80,7 @@
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
         self.most_call = MOST_RULES_BYTES + MOST_BYTES
         listing.on_list_event.append(self._rules.update_zone_cells)
-        exchange.account.router = self._rules
+        exchange.reporter.router = self._rules
 
     def _cells(self) -> Mapping[str, frozenset[int]]:
         cells: dict[str, set[int]] = defaultdict(set)
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -14,14 +14,14 @@
 
 from pearloom.binary.connection import UNHEARD_MS, CallerConnection
 from pearloom.binary.isup import Code, Message
+from pearloom.core.calls import Caller, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address, Config
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, Offer
+from pearloom.core.logs import log_event
+from pearloom.core.set_up_validation import SetUpValidator
 
 CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
 BASE_MB = 14.0  # what the program takes with no connection
@@ -60,8 +60,8 @@
         self._yielded_since = math.inf
         self._looks = False
         self._clock = clock
-        self._rules = OfferRules(config)
-        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.most_width)}
+        self._rules = SetUpValidator(config)
+        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.max_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
         self.max_connections = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
         self._connections: dict[CallerConnection, None] = {}
@@ -155,9 +155,9 @@
 
         A connection stays until all that it brought is over: what carries no call is idle. For calls whose
         own connection is gone, the last that dealt with a call stays."""
-        if not self.drained or self.yielded or not self.exchange.standing_calls:
+        if not self.drained or self.yielded or not self.exchange.established_calls:
             return set()  # or the other process has them
-        brought = set(self.exchange.callers_of_standing())
+        brought = set(self.exchange.callers_of_established())
         kept = {caller for caller in self._connections if caller in brought}
         return kept or set(islice(reversed(self._talkers), 1))
 
@@ -180,7 +180,7 @@
         return host, port
 
     def _accept(self, listener: socket.socket) -> None:
-        for number, sock in enumerate(accepted(listener, "callers"), start=1):
+        for number, sock in enumerate(accept_connections(listener, "callers"), start=1):
             self.counters.add("caller_connections")
             if self._make_room():
                 caller = CallerConnection(self, sock, self.now_ms())
@@ -208,12 +208,12 @@
         for (kind, _), _, caller in sorted(ranked)[:MOST_LOOKS]:
             if closed >= max(EVICTED_SHARE * self.max_connections, 1) or (closed and kind > 1):
                 break
-            if not caller.connection.busy:
+            if not caller.connection.is_busy:
                 closed += 1
                 self.counters.add("caller_connections_closed")
                 caller.connection.close("too many connections")
         if not closed:
-            note(logging.WARNING, "caller_connections_full", most=self.max_connections)
+            log_event(logging.WARNING, "caller_connections_full", most=self.max_connections)
         return closed > 0
 
     def _watch(self) -> None:
@@ -238,7 +238,7 @@
         """Has it brought a set-up?"""
         return caller in self._talkers
 
-    def read_offer(self, message: Message) -> Offer | None:
+    def read_offer(self, message: Message) -> SetUpRequest | None:
         """The set-up in a message, or None where it lacks what a set-up needs."""
         told = message.text(Code.ATTRIBUTES, absent="")
         if told is None or (told and not _FIGURES.fullmatch(told)):
@@ -250,7 +250,7 @@
             if not least <= figures.get(key, least) <= most:
                 return None
         patience = message.text(Code.PATIENCE_MS) or ""
-        return self._rules.offer(
+        return self._rules.validated_request(
             call=message.call,
             class_name=message.text(Code.CLASS),
             tenant_name=message.text(Code.TENANT, absent=""),
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 
 from pearloom import interface as api
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.clock import Clock
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
 from pearloom.policy import Controller
 
 
-def call_arrived_event(offer: Offer, way: CallRoute | None) -> api.CallArrived:
+def call_arrived_event(offer: SetUpRequest, way: CallRoute | None) -> api.CallArrived:
     """A new set-up as the decision module hears of it; `way`: what the fleet's routing rules said of it."""
     return api.CallArrived(
         call=offer.call,
-        kind=offer.kind,
+        kind=offer.class_index,
         tenant=offer.tenant,
         patience_us=round(offer.patience_ms * 1000),
         first_choice=offer.first_choice,
@@ -89,7 +89,7 @@
         except Exception:
             # Guards against one call that the module chokes on: it is answered, and the others go on.
             self.failed_decisions += 1
-            crashed("decision_failed", what=type(event).__name__)
+            log_exception("decision_failed", what=type(event).__name__)
             actions = [api.Fail(event.call)] if isinstance(event, api.CallArrived) else []
         for action in actions:
             self._act(action)
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -7,14 +7,14 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
+from pearloom.core.calls import Caller, CallerSide, Media, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address
 from pearloom.core.counters import Counters
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, CallerSide, Media, Offer
+from pearloom.core.logs import log_event
+from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import Admission
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NETWORK_OUT_OF_ORDER, CAUSE_TEMPORARY_FAILURE
@@ -40,28 +40,28 @@
     front: Front
     peer: _Peer
     token: bytes
-    offer: Offer | None = None
+    offer: SetUpRequest | None = None
     codec = 0
 
     # --- exchange.Caller
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Has neither side hung up?"""
         return not self.over
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Pass the answer on."""
         self.front.answered(self, description)
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turn the set-up away, and say when to come back."""
         self.front.turned_away(self, CAUSE_CONGESTION, "", stay_away_ms)
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Say that the set-up failed."""
         self.front.turned_away(self, CAUSE_TEMPORARY_FAILURE, "", 0.0)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass on what the server's side says."""
         self.front.said(self, media)
 
@@ -75,7 +75,7 @@
         clock: Clock,
         counters: Counters,
         settings: Iax2,
-        rules: OfferRules,
+        rules: SetUpValidator,
         takes_work: Callable[[], bool],
         refuses: Callable[[], bool],
     ) -> None:
@@ -127,7 +127,7 @@
 
     def _malformed(self, reason: str) -> None:
         self._counters.add("malformed_from_callers")
-        note(logging.WARNING, "caller_malformed", reason=reason, call="", closed=False)
+        log_event(logging.WARNING, "caller_malformed", reason=reason, call="", closed=False)
 
     def _feed(self, leg: CallerLeg, frame: Full | Mini) -> None:
         now = self._now_ms()
@@ -195,7 +195,7 @@
         if number is None:
             why = "unknown user" if secret is None else turned.value if turned else "call numbers"
             self._counters.add("iax2_turned_away")
-            note(logging.INFO, "iax2_turned_away", reason=why, source=source[0])
+            log_event(logging.INFO, "iax2_turned_away", reason=why, source=source[0])
             cause = CAUSE_REJECTED if secret is None else CAUSE_CONGESTION
             pairs = [(Element.CAUSECODE, bytes((cause,)))]
             if secret is not None:
@@ -229,11 +229,11 @@
             case HungUp(cause):
                 self._left(leg, cause)
             case Gone(reason):
-                note(logging.INFO, "iax2_caller_gone", reason=reason)
+                log_event(logging.INFO, "iax2_caller_gone", reason=reason)
                 self._left(leg, CAUSE_TEMPORARY_FAILURE)
             case Heard(media) if leg.offer is not None:
                 self._counters.add("media_from_callers")
-                self._exchange.said_by_caller(leg.offer.call, media)
+                self._exchange.relay_caller_media(leg.offer.call, media)
             case Over():
                 self._over(leg)
 
@@ -242,32 +242,32 @@
         offer = read_offer(elements, self._rules, self._settings.default_class, secrets.token_hex(8))
         if isinstance(offer, str):
             self._counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_bad_set_up", call="", reason=offer)
+            log_event(logging.WARNING, "caller_bad_set_up", call="", reason=offer)
             self.turned_away(leg, CAUSE_INVALID, offer, 0.0)
             return
         # Guards against an answer after the give-up: the caller has waited since its first NEW.
         offer.patience_ms -= tokens.age_ms(leg.token, self._now_ms())
         if offer.patience_ms <= 0:
             self.turned_away(leg, CAUSE_TEMPORARY_FAILURE, "too late", 0.0)
-        elif exchange.is_open(offer.call) or exchange.is_over(offer.call):
+        elif exchange.has_call(offer.call) or exchange.is_recently_ended(offer.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_duplicate", call=offer.call)
+            log_event(logging.WARNING, "caller_duplicate", call=offer.call)
             self.turned_away(leg, CAUSE_INVALID, "an id that was used before", 0.0)
         elif offer.call in exchange.open_elsewhere:
             self._counters.add("open_elsewhere")
-            leg.refused(offer.call, exchange.stay_away_ms)
+            leg.send_refusal(offer.call, exchange.stay_away_ms)
         elif self._refuses():
             # Guards against callers that stay through a drain and so keep it from its end.
-            exchange.refuse(offer, leg)
+            exchange.refuse_set_up(offer, leg)
         else:
             leg.offer, leg.codec = offer, offer.codec
-            exchange.offered(offer, leg)
+            exchange.handle_set_up(offer, leg)
 
     def _left(self, leg: CallerLeg, cause: int) -> None:
         offer, leg.offer = leg.offer, None
         if offer is not None:
-            self._exchange.left(offer.call, cause)
+            self._exchange.handle_caller_release(offer.call, cause)
 
     def _over(self, leg: CallerLeg) -> None:
         self._legs.gone(leg)
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -16,13 +16,13 @@
 from pearloom.admin.management import MOST_BYTES
 from pearloom.binary.callers import Callers
 from pearloom.coordination.settings import StoreSettings, read_store
+from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, ConfigError
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.offers import OfferRules
-from pearloom.core.sides import CallerSide
+from pearloom.core.logs import log_event
+from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2.listener import Front, Fronts
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
@@ -100,7 +100,7 @@
             clock,
             counters,
             self.iax2,
-            OfferRules(self._config),
+            SetUpValidator(self._config),
             lambda: callers.is_in_service,
             lambda: callers.is_refusing,
         )
@@ -154,13 +154,13 @@
         try:
             self._listen(self.front)
         except OSError as trouble:
-            note(logging.WARNING, "iax2_listen_waits", reason=str(trouble))
+            log_event(logging.WARNING, "iax2_listen_waits", reason=str(trouble))
             gevent.spawn(self._listen_later, self.front)
 
     def _listen(self, front: Front) -> None:
         assert self.iax2.listen is not None
         host, port = front.listen(self.iax2.listen)
-        note(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
+        log_event(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
 
     def _listen_later(self, front: Front) -> None:
         for _ in range(int(LISTEN_FOR_S / LISTEN_AGAIN_S)):
@@ -170,7 +170,7 @@
                 return
             except OSError:
                 continue
-        note(logging.ERROR, "iax2_listen_failed")
+        log_event(logging.ERROR, "iax2_listen_failed")
 
     def finish(self) -> None:
         """This process is about to end."""
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -17,7 +17,7 @@
 from pearloom.coordination.timing import contention_delay_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 from pearloom.interface import PoolState
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.capacity import load, weighed
@@ -138,7 +138,7 @@
         )  # fmt: skip
         if drains != self._drains:
             self._drains = drains
-            note(logging.INFO, "maintenance_drains" if drains else "maintenance_over", softswitch=me)
+            log_event(logging.INFO, "maintenance_drains" if drains else "maintenance_over", softswitch=me)
             (self._hands.drain if drains else self._hands.activate)()
 
     def _run(self) -> None:
@@ -150,7 +150,7 @@
                 self._member.look_again()
                 self._once()
             except Exception:
-                crashed("maintenance_failed")
+                log_exception("maintenance_failed")
 
     def _once(self) -> None:
         slots = self.slots
@@ -183,4 +183,4 @@
         self._counters.add(f"maintenance_steps_{outcome.value}")
         if outcome is Outcome.WON:
             to = step.to.value if step.to else "deleted"
-            note(logging.INFO, "maintenance", slot=step.slot, machine=step.machine, to=to, why=step.why)
+            log_event(logging.INFO, "maintenance", slot=step.slot, machine=step.machine, to=to, why=step.why)
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -17,8 +17,8 @@
 from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
 from pearloom.coordination.timing import contention_delay_ms, rank
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
+from pearloom.core.outcomes import CallOutcome
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, ConfirmationStatus
@@ -78,11 +78,11 @@
             try:
                 write()
             except Exception:
-                crashed(event)
+                log_exception(event)
             gevent.sleep(pause_s)
 
     # --- counting -------------------------------------------------------------------------------------------
-    def _ended(self, version: str, mark: int, kind: int, end: End, took_ms: float) -> None:
+    def _ended(self, version: str, mark: int, kind: int, end: CallOutcome, took_ms: float) -> None:
         now = self._now_ms()
         self._tally.record_end(version, mark, kind, end, took_ms, now)
         self._own.ended(version, kind, end, now)
@@ -196,7 +196,7 @@
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             halted = step.did is Operation.HALTED
-            note(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
+            log_event(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
 
     def _listen(self, rollout: Rollout, now: float) -> None:
         """Who told something new, and whether anybody could."""
@@ -242,7 +242,7 @@
         why = self._own.regressed(rollout.version, head.version, terms.tolerance, terms.rate)
         if why:
             self._counters.add("rules_left")
-            note(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
+            log_event(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
             self._why_left = why
             self._rules.leave(rollout.id)
 
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -14,11 +14,11 @@
 from gevent.event import Event
 
 from pearloom.coordination import Link, Snapshot
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
+from pearloom.core.outcomes import CallOutcome
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
 from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
 from pearloom.rules.records import EMPTY, RuleSet
 from pearloom.rules.settings import RulesSettings
@@ -26,7 +26,9 @@
 from pearloom.rules.table import LocalContext, RoutingTable
 
 SHELVE_AGAIN_S = 0.05  # between two writes at least
-Tallied = Callable[[str, int, int, End, float], None]  # version, mark, class, end, ms since the arrival
+Tallied = Callable[
+    [str, int, int, CallOutcome, float], None
+]  # version, mark, class, end, ms since the arrival
 
 
 class RulesHost:
@@ -58,14 +60,14 @@
         link.on_change.append(self._changed)
 
     # --- what the exchange asks -----------------------------------------------------------------------------
-    def way(self, offer: Offer) -> CallRoute:
+    def route_for(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
         table = self._table
         return CallRoute(
-            table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.marked()
+            table.version, table.route(offer.class_index, offer.tenant, offer.first_choice), self.marked()
         )
 
-    def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
+    def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules."""
         self.tallied(way.version, way.mark, kind, end, took_ms)
 
@@ -100,7 +102,7 @@
             self._changed(self._link.snapshot)
         elif self.applied_head is not None:
             self._go_by(self.applied_head)
-        note(
+        log_event(
             logging.INFO if answered else logging.WARNING, "rules_ready", version=self.version,
             head=self.applied_head.number if self.applied_head else 0, store=answered,
         )  # fmt: skip
@@ -132,7 +134,7 @@
         if told != self.divergence:
             self.divergence = told
             self._counters.add("rules_diverged")
-            note(
+            log_event(
                 logging.ERROR,
                 "rules_diverged",
                 seen=self.applied_head.number if self.applied_head else 0,
@@ -150,7 +152,7 @@
             self._diverge(f"{head.number} without its rules")
             return
         if self.divergence:
-            note(logging.INFO, "rules_converged", head=head.number)
+            log_event(logging.INFO, "rules_converged", head=head.number)
         self.divergence, self.applied_head, self._kept = "", head, {EMPTY: RuleSet(), **kept}
         if head.rollout is None or head.rollout.id != self.left:
             self.left = 0
@@ -181,7 +183,7 @@
             return
         if version != self._table.version:
             self._counters.add("rules_changed")
-            note(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
+            log_event(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
         self._table = RoutingTable(version, rules, replace(self.context, cells=self._listed()))
         for told in self.on_obeyed:
             told()
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import crashed
-from pearloom.core.sides import Media, SetUp
+from pearloom.core.logs import log_exception
 from pearloom.interface import PoolState
 
 WATCH_MS = 100.0  # how often trunks are looked at
@@ -46,7 +46,7 @@
     def update(self, server: Server) -> None:
         """The list says something new of this server."""
 
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
 
     def give_up(self, call: str) -> Progress | None:
@@ -58,7 +58,7 @@
     def release(self, call: str, number: str, cause: int) -> None:
         """Release a standing call."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass on what a caller says."""
 
     def watch(self) -> None:
@@ -108,7 +108,7 @@
                     trunk.close()
                     del self._trunks[trunk.name]
         except Exception:
-            crashed("watch_failed")
+            log_exception("watch_failed")
         self.exchange.after_ms(WATCH_MS, self._watch)
 
     @property
@@ -132,7 +132,7 @@
         return trunk
 
     # --- exchange.ServerSide
-    def listed(self, servers: Sequence[Server], whole: bool) -> None:
+    def update_servers(self, servers: Sequence[Server], whole: bool) -> None:
         """Take the list over; each server that is new gets its connection at once."""
         named = {server.entry.server for server in servers}
         for server in servers:
@@ -160,7 +160,7 @@
     def dial_servers_with_calls(self) -> None:
         """Open a further connection to each server where anything stands."""
         for trunk in self._trunks.values():
-            if self.exchange.standing_at(trunk.name):
+            if self.exchange.established_at(trunk.name):
                 trunk.dial()
 
     def finish(self) -> None:
@@ -179,13 +179,13 @@
             if not trunk.is_ready:
                 trunk.withdraw_unsent()
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
         trunk = self._trunks.get(server)
         if trunk is None or not trunk.is_ready:
             # The last guard before a server that drains or is gone.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
-            self.exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
+            self.exchange.attempt_ended(set_up.request.call, set_up.attempt, error)
         else:
             trunk.set_up(set_up)
 
@@ -200,11 +200,11 @@
             if server in (None, trunk.name):
                 trunk.release(call, number, cause)
 
-    def media(self, server: str, call: str, media: Media) -> None:
+    def send_media(self, server: str, call: str, media: Media) -> None:
         """Pass on what a caller says."""
         trunk = self._trunks.get(server)
         if trunk is not None:
-            trunk.media(call, media)
+            trunk.send_media(call, media)
 
 
 def gone(server: Server) -> Server:
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -9,9 +9,9 @@
 
 from gevent import socket
 
+from pearloom.core.calls import SetUpAttempt
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
-from pearloom.core.sides import SetUp
 from pearloom.interface import Ending
 from pearloom.sip import codec as sip
 
@@ -52,23 +52,23 @@
     def __init__(
         self,
         data: bytes,
-        set_up: SetUp,
+        set_up: SetUpAttempt,
         may_leave: Callable[[OutboundSetUp], bool],
         on_written: Callable[[], None],
     ) -> None:
         """`may_leave` is asked before its first byte leaves, `on_written` called once its last one has."""
-        super().__init__(data, set_up.offer.call)
+        super().__init__(data, set_up.request.call)
         self.set_up = set_up
         self.link: Link | None = None
         self.sent_ms = 0.0  # when it was given to its connection
         self._may_leave = may_leave
         self._on_written = on_written
 
-    def may_leave(self) -> bool:
+    def may_send(self) -> bool:
         """Is the call still there, and its caller?"""
         return self._may_leave(self)
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Its last byte has left."""
         self._on_written()
 
