--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -19,7 +19,7 @@
 
 from pearloom.admin.management import Answer, Ask, Routes
 from pearloom.admin.writing import away, bad, conflict, write
-from pearloom.coordination import Attempt, Link, Outcome
+from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
 from pearloom.rollout.evidence import Evidence, merge_delays
@@ -88,7 +88,7 @@
         head, followed = there.head, self._rollout.confirmation_status(there)
         yield (
             f"head={head.number} version={head.version} before={head.before}"
-            f" done={str(followed.is_complete).lower()} fresh={str(self._link.fresh).lower()}"
+            f" done={str(followed.is_complete).lower()} fresh={str(self._link.is_fresh).lower()}"
         )
         if self._rules.divergence:
             seen = self._rules.applied_head.number if self._rules.applied_head else 0
@@ -156,13 +156,13 @@
             more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
             return bad(found[0] + more)
         wanted = () if told.at_once else told.stages or self._settings.stages
-        zones = {one.name: one.zone for one in self._member.view.acting}
+        zones = {one.name: one.zone for one in self._member.view.live_members}
         if wanted and len(zones) < 2:
             # Guards against a rollout that has nobody to be compared with, and so can show nothing.
             return conflict("a rollout needs two live softswitches at least: ask for it at_once instead")
         stay = self._settings.stay if told.stay is None else told.stay
 
-        def attempt(there: HeadState, asked: Request, seen: int) -> Attempt:
+        def attempt(there: HeadState, asked: Request, seen: int) -> Transaction:
             begun = max(there.head.number, seen) + 1
             members = stages.members(zones, begun, wanted[0]) if wanted else ()
             terms = self._settings.terms
@@ -184,7 +184,7 @@
         )
 
     def _write(
-        self, attempt: Callable[[HeadState, Request, int], Attempt], reason: str, author: str
+        self, attempt: Callable[[HeadState, Request, int], Transaction], reason: str, author: str
     ) -> Answer:
         """Compute, try, and compute again where others wrote in between.
 
@@ -193,7 +193,7 @@
 
         def read() -> HeadState | Answer:
             there = self._rules.head_state
-            if there is None or not self._link.fresh:
+            if there is None or not self._link.is_fresh:
                 return away()
             return _won(there, asked.tag) or there
 
@@ -207,11 +207,11 @@
                 return Answer(HTTPStatus.ACCEPTED, text)
             return Answer(HTTPStatus.OK, "ok\n")
 
-        def step(there: HeadState) -> Attempt:
+        def step(there: HeadState) -> Transaction:
             seen = self._rules.applied_head.number if self._rules.applied_head is not None else 0
             return attempt(there, asked, seen)
 
-        return write(read, step, self._link.attempt, self._link.read_again, settled, RulesError)
+        return write(read, step, self._link.commit, self._link.read_again, settled, RulesError)
 
 
 def _won(there: HeadState, tag: str) -> Answer | None:
--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -52,7 +52,7 @@
         self._store = EtcdStore(store)
         self._link = Link(self._store, store, counters, SystemRandom(), steady_ms)
         self._member = MemberHost(
-            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.beat_ms,
+            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.heartbeat_ms,
             lambda: (exchange.decider.limits, exchange.open_calls), steady_ms,
         )  # fmt: skip
         context = LocalContext(config.class_names, config.tenant_names, turns.zone, self._cells())
@@ -63,13 +63,13 @@
             self._rules,
             counters,
             turns.zone,
-            lambda: exchange.decider.broken,
+            lambda: exchange.decider.failed_decisions,
             steady_ms,
         )
         hands = MaintenanceCallbacks(
             drain,
             activate,
-            idle=lambda: not exchange.open_calls + exchange.standing_calls,
+            is_idle=lambda: not exchange.open_calls + exchange.established_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
             halted=lambda: self._rollout.has_recent_halt,
@@ -79,8 +79,8 @@
         self._members = Members(self._member)
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
         self.most_call = MOST_RULES_BYTES + MOST_BYTES
-        listing.on_told.append(self._rules.update_zone_cells)
-        exchange.account.router = self._rules
+        listing.on_list_event.append(self._rules.update_zone_cells)
+        exchange.reporter.router = self._rules
 
     def _cells(self) -> Mapping[str, frozenset[int]]:
         cells: dict[str, set[int]] = defaultdict(set)
--- a/pearloom/core/sides.py
+++ b/pearloom/core/calls.py
@@ -19,11 +19,11 @@
 
 
 @dataclass(slots=True)
-class Offer:
+class SetUpRequest:
     """A set-up as a caller brought it; the description is dropped once the answer has been given."""
 
     call: str
-    kind: int
+    class_index: int
     class_name: str
     number: str
     description: bytes
@@ -35,12 +35,12 @@
 
 
 @dataclass(slots=True)
-class SetUp:
+class SetUpAttempt:
     """One attempt to be sent; the offer goes on unchanged."""
 
-    offer: Offer
+    request: SetUpRequest
     attempt: int
-    ring_ms: float
+    ring_limit_ms: float
 
 
 class MediaKind(Enum):
@@ -56,7 +56,7 @@
 
     kind: MediaKind
     codec: int  # as RFC 5456 (8.7) numbers them
-    stamp_ms: int  # since its leg began
+    timestamp_ms: int  # since its leg began
     payload: bytes
 
 
@@ -64,37 +64,37 @@
     """Whoever brought a call and is owed its one final answer."""
 
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Is it still connected, as far as can be seen at this moment?"""
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """The call stands; pass the server's description on."""
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turned away: trying again is harmless, after that time if it is above 0."""
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Given up."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """The server's side says something in this standing call."""
 
 
 class NullCaller:
     """Stands for the caller of an inherited call: who brought it is not known here."""
 
-    is_there = True
+    is_connected = True
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Nobody is told."""
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Nobody is told."""
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Nobody is told."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Nobody hears it."""
 
 
@@ -108,7 +108,7 @@
 class ServerSide(Protocol):
     """All session servers."""
 
-    def listed(self, servers: Sequence[Server], whole: bool) -> None:
+    def update_servers(self, servers: Sequence[Server], whole: bool) -> None:
         """The pool list changed."""
 
     @property
@@ -118,7 +118,7 @@
     def withdraw_unsent(self) -> None:
         """End every attempt that has not left yet for a server that may get no new set-up."""
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         """Send an attempt; its end or answer comes back to the exchange."""
 
     def give_up(self, server: str, call: str) -> Progress | None:
@@ -130,7 +130,7 @@
     def release(self, server: str | None, call: str, number: str, cause: int) -> None:
         """Release a standing call; None where only a session server can know it."""
 
-    def media(self, server: str, call: str, media: Media) -> None:
+    def send_media(self, server: str, call: str, media: Media) -> None:
         """Pass on what a caller says in a standing call."""
 
 
@@ -138,7 +138,7 @@
 class Call:
     """One call of this life, from its set-up until it is over."""
 
-    offer: Offer
+    request: SetUpRequest
     caller: Caller
     attempts: int = 0
     current: int = -1
--- a/pearloom/core/counters.py
+++ b/pearloom/core/counters.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 
 
 class Counters:
@@ -24,12 +24,12 @@
         """What has been counted under this name."""
         return self._counts[name]
 
-    def print(self, **gauges: int) -> None:
+    def log_all(self, **gauges: int) -> None:
         """Log all counts, sorted by name, and the gauges of the moment."""
-        note(logging.INFO, "counters", **dict(sorted(self._counts.items())), **gauges)
+        log_event(logging.INFO, "counters", **dict(sorted(self._counts.items())), **gauges)
 
 
-class Figures:
+class Metrics:
     """What operators read: how requests ended, by class, and how many attempts left whole. All from 0."""
 
     def __init__(self, class_names: Sequence[str]) -> None:
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -11,17 +11,26 @@
 from dataclasses import replace
 
 from pearloom import interface as api
-from pearloom.core.account import Account
-from pearloom.core.backlog import Backlog
+from pearloom.core.calls import (
+    Call,
+    Caller,
+    CallerSide,
+    Media,
+    NullCaller,
+    ServerSide,
+    SetUpAttempt,
+    SetUpRequest,
+)
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
-from pearloom.core.counters import Counters, Figures
-from pearloom.core.decider import Decider, arrival
+from pearloom.core.counters import Counters, Metrics
+from pearloom.core.decider import Decider, call_arrived_event
 from pearloom.core.errors import AttemptError, Progress
-from pearloom.core.logs import note
-from pearloom.core.remembered import Remembered
-from pearloom.core.sides import Call, Caller, CallerSide, Media, NullCaller, Offer, ServerSide, SetUp
-from pearloom.core.standing import Standing
+from pearloom.core.established import EstablishedCalls
+from pearloom.core.logs import log_event
+from pearloom.core.pending_limit import PendingLimit
+from pearloom.core.recent import RecentIds
+from pearloom.core.reporting import OutcomeReporter
 from pearloom.core.timers import Timers
 from pearloom.interface import Ending
 
@@ -45,7 +54,7 @@
         settings: api.Settings,
         seed: int,
         counters: Counters,
-        figures: Figures,
+        figures: Metrics,
         round_ms: float,
         memory_mb: float,
     ) -> None:
@@ -53,13 +62,13 @@
         settings = replace(settings, release_us=settings.release_us + RELEASE_MARGIN_US)
         self._clock, self._counters, self._figures = clock, counters, figures
         self.stay_away_ms = settings.stay_away_us(FULL_STAY_AWAY_US) / 1000.0  # told where there is no room
-        self.account = Account(clock, counters, figures, settings.classes)
+        self.reporter = OutcomeReporter(clock, counters, figures, settings.classes)
         self.decider = Decider(clock, settings, seed, round_ms, self._act)
-        self._tell = self.decider.tell
+        self._tell = self.decider.handle_event
         self._calls: dict[str, Call] = {}
-        self._standing = Standing()
-        self._over = Remembered(REMEMBERED, REMEMBERED_MS)
-        self._backlog = Backlog(memory_mb)
+        self._standing = EstablishedCalls()
+        self._over = RecentIds(REMEMBERED, REMEMBERED_MS)
+        self._backlog = PendingLimit(memory_mb)
         self._timers = Timers()
         self.open_elsewhere: set[str] = set()  # open at the other process of an upgrade
         self._callers: CallerSide
@@ -76,27 +85,27 @@
         return self._backlog.count
 
     @property
-    def standing_calls(self) -> int:
+    def established_calls(self) -> int:
         """Calls that stand."""
         return len(self._standing)
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """What operators read; a call is outstanding until it is over, not just until it stands."""
         return self._figures.text(
-            outstanding=self.open_calls + self.standing_calls,
+            outstanding=self.open_calls + self.established_calls,
             discovered=self._servers.discovered,
-            ejected=self.decider.avoided,
+            ejected=self.decider.ejected_count,
         )
 
-    def standing_at(self, server: str) -> int:
+    def established_at(self, server: str) -> int:
         """Calls that stand at this server."""
         return len(self._standing.at(server))
 
-    def stands_at(self, server: str, call: str) -> bool:
+    def is_established_at(self, server: str, call: str) -> bool:
         """Does this call stand there?"""
         return call in self._standing.at(server)
 
-    def standing(self) -> Iterator[tuple[str, str, str, float]]:
+    def list_established(self) -> Iterator[tuple[str, str, str, float]]:
         """Each call that stands: its id, its server, the number called, since when."""
         return self._standing.listed()
 
@@ -108,62 +117,64 @@
         """A call stands that the process before this one set up; False where it is known here."""
         if name in self._calls or name in self._over:
             return False
-        call = Call(Offer(name, -1, "", number, b"", 0.0, -1), NullCaller(), server=server, stood_ms=stood_ms)
+        call = Call(
+            SetUpRequest(name, -1, "", number, b"", 0.0, -1), NullCaller(), server=server, stood_ms=stood_ms
+        )
         call.answered = call.stands = True
         self._calls[name] = call
         self._standing.put(call)
         return True
 
-    def drop(self, name: str) -> None:
+    def end_established(self, name: str) -> None:
         """The other process of an upgrade has dealt with the end of this standing call."""
-        if self.is_standing(name):
+        if self.is_established(name):
             self._ended(self._calls[name], Ending.ENDED)
 
-    def is_standing(self, name: str) -> bool:
+    def is_established(self, name: str) -> bool:
         """Does this call stand?"""
         call = self._calls.get(name)
         return call is not None and call.stands
 
-    def callers_of_standing(self) -> Iterator[Caller]:
+    def callers_of_established(self) -> Iterator[Caller]:
         """Who brought the calls that stand, at each server the youngest call first."""
         return self._standing.callers()
 
-    def is_open(self, call: str) -> bool:
+    def has_call(self, call: str) -> bool:
         """Is this call held here, unanswered or standing?"""
         return call in self._calls
 
-    def is_over(self, call: str) -> bool:
+    def is_recently_ended(self, call: str) -> bool:
         """Was this call here not long ago?"""
         return call in self._over
 
     # --- from the callers -----------------------------------------------------------------------------------
-    def offered(self, offer: Offer, caller: Caller) -> None:
+    def handle_set_up(self, offer: SetUpRequest, caller: Caller) -> None:
         """A new set-up."""
         self._counters.add("set_ups_in")
         # Guards also against set-ups behind a close that is not read yet: nothing would ever end them.
-        if not self._backlog.has_room(offer) or not caller.is_there:
+        if not self._backlog.has_room(offer) or not caller.is_connected:
             self._refuse_unseen(offer, caller)
             return
-        way = self.account.way(offer)
+        way = self.reporter.route_for(offer)
         self._calls[offer.call] = Call(offer, caller, arrived_ms=self._clock.now_ms(), way=way)
         self._backlog.add(offer)
-        self._tell(arrival(offer, way))
+        self._tell(call_arrived_event(offer, way))
 
-    def refuse(self, offer: Offer, caller: Caller) -> None:
+    def refuse_set_up(self, offer: SetUpRequest, caller: Caller) -> None:
         """A new set-up that the callers' side has no room for; nothing is decided of the call."""
         self._counters.add("set_ups_in")
         self._refuse_unseen(offer, caller)
 
-    def _refuse_unseen(self, offer: Offer, caller: Caller) -> None:
-        self.account.unseen(offer)
-        caller.refused(offer.call, self.stay_away_ms)
+    def _refuse_unseen(self, offer: SetUpRequest, caller: Caller) -> None:
+        self.reporter.unseen(offer)
+        caller.send_refusal(offer.call, self.stay_away_ms)
 
-    def refuse_open(self) -> None:
+    def refuse_unanswered(self) -> None:
         """Turn away every set-up that has no answer yet: this process is about to end."""
         for call in [call for call in self._calls.values() if not call.answered]:
             self._turn_away(call)
 
-    def caller_ended(self, name: str) -> None:
+    def handle_caller_eof(self, name: str) -> None:
         """The caller of a set-up sends no more: the attempt that is out may end, another does not begin.
 
         A close and a half-close look alike here, and one that has closed must cost no server any work."""
@@ -182,23 +193,23 @@
         if self._clock.now_ms() >= call.sent_ms + call.timeout_ms:
             self._give_up(call, Ending.TIMED_OUT)
             return False
-        if not call.caller.is_there:
+        if not call.caller.is_connected:
             self._turn_away(call)
             return False
         return True
 
     def _turn_away(self, call: Call) -> None:
         """Refuse a set-up for a reason of which the decision module knows nothing."""
-        name = call.offer.call
-        self.account.refused(call)
+        name = call.request.call
+        self.reporter.refused(call)
         self._drop(name, call)
-        call.caller.refused(name, self.stay_away_ms)
+        call.caller.send_refusal(name, self.stay_away_ms)
 
-    def spoil(self, name: str) -> None:
+    def abort_set_up(self, name: str) -> None:
         """Fail a set-up that its caller made unusable."""
         call = self._calls.get(name)
         if call is not None and not call.answered:
-            self.account.failed(call)
+            self.reporter.failed(call)
             self._drop(name, call)
 
     def _drop(self, name: str, call: Call) -> None:
@@ -208,7 +219,7 @@
         self._give_up(call, Ending.CANCELLED)
         self._forget(call)
 
-    def left(self, name: str, cause: int) -> None:
+    def handle_caller_release(self, name: str, cause: int) -> None:
         """The caller gave its set-up up, or released its standing call, or can't be reached any more."""
         call = self._calls.get(name)
         if call is None:
@@ -218,14 +229,14 @@
                 self._remember(name)
         elif call.stands:
             self._counters.add("released_by_caller")
-            self._servers.release(call.server, name, call.offer.number, cause)
+            self._servers.release(call.server, name, call.request.number, cause)
             self._ended(call, Ending.CANCELLED)
         elif not call.answered:
             self._counters.add("given_up_by_caller")
             self._drop(name, call)
 
     # --- from the session servers ---------------------------------------------------------------------------
-    def stands(self, name: str, attempt: int, description: bytes) -> bool:
+    def handle_answer(self, name: str, attempt: int, description: bytes) -> bool:
         """The attempt was answered; False where the call does not want it any more."""
         call = self._calls.get(name)
         if call is None or call.current != attempt or call.answered:
@@ -234,10 +245,10 @@
         call.current, call.stands, call.stood_ms = -1, True, now
         self._close(call)
         self._standing.put(call)
-        self.account.stood(call)
+        self.reporter.stood(call)
         # The module hears of it first: a caller that can't be told any more ends the call at once.
         self._tell(api.CallStands(name, attempt, call.server, round((now - call.sent_ms) * 1000)))
-        call.caller.stands(name, description)
+        call.caller.send_answer(name, description)
         return True
 
     def attempt_ended(self, name: str, attempt: int, error: AttemptError) -> None:
@@ -246,9 +257,11 @@
         if call is not None and call.current == attempt:
             # What was given up ended as that, unless the server itself said otherwise in the meantime.
             given_up, call.given_up = call.given_up, None
-            self._settle(call, given_up if given_up and error.ending is None else error.proves(), error)
+            self._settle(
+                call, given_up if given_up and error.ending is None else error.implied_ending(), error
+            )
 
-    def released(self, server: str, name: str, cause: int) -> None:
+    def handle_server_release(self, server: str, name: str, cause: int) -> None:
         """A session server released a call."""
         call = self._calls.get(name)
         if call is not None and call.stands and call.server == server:
@@ -261,42 +274,42 @@
             self._remember(name)
             self._callers.release(name, cause, None)
 
-    def said_by_caller(self, name: str, media: Media) -> None:
+    def relay_caller_media(self, name: str, media: Media) -> None:
         """Pass what a caller says on to the server at which its call stands."""
         call = self._calls.get(name)
         if call is not None and call.stands:
-            self._servers.media(call.server, name, media)
+            self._servers.send_media(call.server, name, media)
 
-    def said_by_server(self, server: str, name: str, media: Media) -> None:
+    def relay_server_media(self, server: str, name: str, media: Media) -> None:
         """Pass what a server says on to the caller, if the call stands there."""
         call = self._calls.get(name)
         if call is not None and call.stands and call.server == server:
-            call.caller.media(name, media)
+            call.caller.send_media(name, media)
 
-    def forwarded(self) -> None:
+    def count_forwarded(self) -> None:
         """The last byte of an attempt was written."""
         self._figures.forwarded()
 
-    def reported(self, server: str, report: Mapping[str, float]) -> None:
+    def handle_server_report(self, server: str, report: Mapping[str, float]) -> None:
         """A session server told how many lines are free."""
         self._counters.add("reports_in")
         self._tell(api.PoolReport(server, Ending.ENDED, 0, report))
 
-    def server_lost(self, server: str, before_ms: float, reason: str) -> None:
+    def handle_server_loss(self, server: str, before_ms: float, reason: str) -> None:
         """A server is dead, or silent for too long: what stood there before that time is cut."""
         cut = [call for call in self._standing.at(server).values() if call.stood_ms < before_ms]
         if not cut:
             return
-        note(logging.WARNING, "server_lost", server=server, reason=reason, calls_cut=len(cut))
+        log_event(logging.WARNING, "server_lost", server=server, reason=reason, calls_cut=len(cut))
         for call in cut:
             self._counters.add("cut_with_server")
-            self._callers.release(call.offer.call, CAUSE_CUT, call.caller)
+            self._callers.release(call.request.call, CAUSE_CUT, call.caller)
             self._ended(call, Ending.RESET)
 
     # --- from the coordinator -------------------------------------------------------------------------------
-    def told(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
+    def handle_pool_list(self, kind: api.ListKind, servers: Sequence[Server]) -> None:
         """The pool list, or changes to it."""
-        self._servers.listed(servers, whole=kind is not api.ListKind.CHANGES)
+        self._servers.update_servers(servers, whole=kind is not api.ListKind.CHANGES)
         self._tell(api.PoolList(kind, tuple(server.entry for server in servers)))
         # Guards against a set-up that is queued or half dialled when its server drains. The module knows the
         # new list by now, so none of these goes back there.
@@ -320,21 +333,21 @@
                 self._send(name, server, timeout_us)
             case api.Refuse(name, wait_us):
                 if (call := self._answered(name)) is not None:
-                    self.account.refused(call)
-                    call.caller.refused(name, wait_us / 1000.0)
+                    self.reporter.refused(call)
+                    call.caller.send_refusal(name, wait_us / 1000.0)
             case api.Fail(name):
                 if (call := self._answered(name)) is not None:
-                    self.account.failed(call)
-                    call.caller.failed(name)
+                    self.reporter.failed(call)
+                    call.caller.send_failure(name)
             case api.CancelAttempt(name, attempt):
                 call = self._calls.get(name)
                 if call is not None:
                     self._give_up(call, Ending.CANCELLED, attempt)
             case api.Note(text):
-                note(logging.INFO, "decision_note", text=text)
+                log_event(logging.INFO, "decision_note", text=text)
             case _:
                 # Probes, messages to peers and list requests have no place on this network.
-                note(logging.WARNING, "action_skipped", action=type(action).__name__)
+                log_event(logging.WARNING, "action_skipped", action=type(action).__name__)
 
     def _send(self, name: str, server: str, timeout_us: int) -> None:
         call = self._calls[name]
@@ -344,7 +357,7 @@
         call.timeout_ms = timeout_us / 1000.0
         self._counters.add("attempts")
         self.after_ms(call.timeout_ms, lambda: self._give_up(call, Ending.TIMED_OUT, attempt))
-        self._servers.set_up(server, SetUp(call.offer, attempt, call.timeout_ms))
+        self._servers.set_up(server, SetUpAttempt(call.request, attempt, call.timeout_ms))
 
     def _answered(self, name: str) -> Call | None:
         """The call that is answered with this, or None.
@@ -361,7 +374,7 @@
         """End the attempt that is out, if any; with a number, only that one."""
         if call.current < 0 or call.given_up is not None or attempt not in (None, call.current):
             return
-        progress = self._servers.give_up(call.server, call.offer.call)
+        progress = self._servers.give_up(call.server, call.request.call)
         if progress is None:
             call.given_up = ending  # the module answers the call at its deadline, whatever the server says
             return
@@ -371,7 +384,7 @@
         """The one end of an attempt that did not stand."""
         attempt, call.current = call.current, -1
         self._counters.add(f"attempts_{ending.name.lower()}")
-        event = self.account.attempt(call, attempt, ending, call.answered, error)
+        event = self.reporter.attempt(call, attempt, ending, call.answered, error)
         self._forget(call)
         self._tell(event)
 
@@ -379,20 +392,20 @@
         """A call that stood is over."""
         self._standing.drop(call)
         call.stands = False
-        self.account.over(call, ending)
+        self.reporter.over(call, ending)
         self._forget(call)
         if call.attempts:  # an inherited call is one of which the module has never heard
-            self._tell(self.account.attempt(call, call.attempts - 1, ending, over=True))
+            self._tell(self.reporter.attempt(call, call.attempts - 1, ending, over=True))
 
     def _close(self, call: Call) -> None:
         """No answer is owed any more, nor is the description needed."""
         call.answered = True
-        self._backlog.remove(call.offer)
+        self._backlog.remove(call.request)
 
     def _forget(self, call: Call) -> None:
         if call.answered and not call.stands and call.current < 0:
-            self._calls.pop(call.offer.call, None)
-            self._remember(call.offer.call)
+            self._calls.pop(call.request.call, None)
+            self._remember(call.request.call)
 
     def _remember(self, name: str) -> None:
         """Keep the id of a call that is over, so that a late release of it goes to nobody."""
--- a/pearloom/core/remembered.py
+++ b/pearloom/core/recent.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Remembered:
+class RecentIds:
     """At most so many names, each for so long; the oldest goes first."""
 
     def __init__(self, most: int, for_ms: float) -> None:
@@ -27,7 +27,7 @@
             self._since.popitem(last=False)
 
 
-class Kept(Generic[T]):
+class RecentValues(Generic[T]):
     """Values by name, each kept for so long; one that is put again counts from then."""
 
     def __init__(self, for_ms: float) -> None:
@@ -47,7 +47,7 @@
         found = self._held.pop(name, None)
         return None if found is None else found[0]
 
-    def young(self, now_ms: float) -> list[T]:
+    def unexpired(self, now_ms: float) -> list[T]:
         """What is not too old, the oldest first."""
         return [value for value, since in self._held.values() if since >= now_ms - self._for_ms]
 
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -12,9 +12,9 @@
 
 from pearloom.binary import isup
 from pearloom.binary.isup import Code, Message, Type
+from pearloom.core.calls import Media, MediaKind, SetUpRequest
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
-from pearloom.core.sides import Media, MediaKind, Offer
 from pearloom.fakes.journal import Journal, What
 from pearloom.fakes.reading import messages
 from pearloom.fakes.rules import SLACK_MS
@@ -42,7 +42,7 @@
     return time.time() * 1000.0
 
 
-def _offered(journal: Journal, who: str, protocol: str, offer: Offer) -> None:
+def _offered(journal: Journal, who: str, protocol: str, offer: SetUpRequest) -> None:
     journal.add(
         What.OFFERED, who, offer.call, offer.class_name, protocol, offer.description, offer.number,
         offer.patience_ms,
@@ -67,14 +67,14 @@
             gevent.spawn(self._read, self._sock)
         return self._sock
 
-    def place(self, offer: Offer, holds_ms: float = math.inf) -> None:
+    def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
         """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
         figures = f"dest:{offer.first_choice};width:1;via:-1" + (";again:1" if offer.was_cut else "")
         parameters = {
             int(Code.CLASS): offer.class_name.encode(),
             int(Code.PATIENCE_MS): str(int(offer.patience_ms)).encode(),
             int(Code.NUMBER): offer.number.encode(),
-            int(Code.FIGURES): figures.encode(),
+            int(Code.ATTRIBUTES): figures.encode(),
             int(Code.DESCRIPTION): offer.description,
         }
         sock = self._connected()  # before anything is noted: where nobody listens, nothing was offered
@@ -126,7 +126,7 @@
             made = message.parameters.get(Code.DESCRIPTION, b"")
             self._journal.add(What.STANDS, self.name, message.call, description=made)
         elif message.type == Type.RELEASE:
-            sock.sendall(isup.encode(Message(Type.RELEASE_HEARD, message.call)))
+            sock.sendall(isup.encode(Message(Type.RELEASE_COMPLETE, message.call)))
             if held is not None:
                 del self._calls[message.call]
                 refused = message.cause in REFUSED
@@ -173,7 +173,7 @@
         self._sock.bind((host, 0))
         self._running = [gevent.spawn(self._read), gevent.spawn(self._tick)]
 
-    def place(self, offer: Offer, holds_ms: float = math.inf) -> None:
+    def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
         """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
         number = self._numbers.take(_now())
         if number is None:
--- a/pearloom/iax2/mapping.py
+++ b/pearloom/iax2/mapping.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping
 
+from pearloom.core.calls import SetUpAttempt, SetUpRequest
 from pearloom.core.errors import Malformed
-from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Offer, SetUp
+from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2.frames import VERSION, Element, Elements, join_description, split_description
 
 Pairs = list[tuple[int, bytes]]
@@ -15,9 +15,9 @@
 _CALL_OCTETS = 8
 
 
-def offer_elements(set_up: SetUp, username: str) -> Pairs:
+def offer_elements(set_up: SetUpAttempt, username: str) -> Pairs:
     """A set-up as the elements of a NEW; a codec that its caller named is the only one that is offered."""
-    offer = set_up.offer
+    offer = set_up.request
     codec = offer.codec or ULAW
     pairs: Pairs = [
         (Element.VERSION, VERSION.to_bytes(2, "big")),
@@ -26,7 +26,7 @@
         (Element.FORMAT, codec.to_bytes(4, "big")),
         (Element.CAPABILITY, (offer.codec or ANY_CODEC).to_bytes(4, "big")),
         (Element.CALL, bytes.fromhex(offer.call)),
-        (Element.PATIENCE_MS, max(int(set_up.ring_ms), 1).to_bytes(4, "big")),
+        (Element.PATIENCE_MS, max(int(set_up.ring_limit_ms), 1).to_bytes(4, "big")),
     ]
     if username:
         pairs.append((Element.USERNAME, username.encode("ascii")))
@@ -35,9 +35,9 @@
     return pairs
 
 
-def call_elements(offer: Offer, username: str = "") -> Pairs:
+def call_elements(offer: SetUpRequest, username: str = "") -> Pairs:
     """What a caller says of its call in a NEW: the same, and what is meant for the softswitch alone."""
-    pairs = offer_elements(SetUp(offer, 0, offer.patience_ms), username)
+    pairs = offer_elements(SetUpAttempt(offer, 0, offer.patience_ms), username)
     pairs.append((Element.FIRST_CHOICE, offer.first_choice.to_bytes(4, "big", signed=True)))
     if offer.was_cut:
         pairs.append((Element.AGAIN, b"\x01"))
@@ -48,7 +48,9 @@
     return int.from_bytes(value[:8], "big")
 
 
-def read_offer(elements: Elements, rules: OfferRules, default_class: str, mint: str) -> Offer | str:
+def read_offer(
+    elements: Elements, rules: SetUpValidator, default_class: str, mint: str
+) -> SetUpRequest | str:
     """The set-up in a NEW, or what is wrong with it.
 
     A plain IAX2 caller tells neither id, class nor patience: the id is then `mint`, the class the operator's
@@ -67,7 +69,7 @@
     codec = elements.number(Element.FORMAT, 4) or 0
     if codec & (codec - 1):
         return "a format of several codecs"
-    offer = rules.offer(
+    offer = rules.validated_request(
         call=mint if call is None else call.hex(),
         class_name=class_name,
         number=elements.text(Element.CALLED_NUMBER) or "",
--- a/pearloom/policy/routes.py
+++ b/pearloom/policy/routes.py
@@ -8,18 +8,20 @@
 
 def is_allowed(state: State, call: Call, pool: Pool) -> bool:
     """May this call go to this pool now, by the rules alone?"""
-    if call.answered or call.current >= 0 or call.attempts >= state.settings.max_attempts or call.sealed:
+    if (call.answered or call.current_attempt >= 0 or call.attempts >= state.settings.max_attempts
+            or call.sealed):  # fmt: skip
         return False
     if not call.release_at <= state.now < call.deadline or pool.state is not PoolState.READY:
         return False
     if call.kind.cells and pool.cell not in call.kind.cells:
         return False
-    return (call.route is None or leaves(call.route, pool)) and cold_start.has_headroom(state, pool)
+    return (call.route is None or permits(call.route, pool)) and cold_start.has_headroom(state, pool)
 
 
-def leaves(route: api.Route, pool: Pool) -> bool:
+def permits(route: api.Route, pool: Pool) -> bool:
     """Do the rules leave the call this pool? They only narrow: what else forbids it still does."""
-    return pool.cell not in route.closed and (route.only is None or pool.cell in route.only)
+    return pool.cell not in route.closed_cells and (
+        route.allowed_cells is None or pool.cell in route.allowed_cells)  # fmt: skip
 
 
 def choose(state: State, call: Call) -> Pool | None:
@@ -35,7 +37,7 @@
         able = [pool for pool in able if pool.server != call.erred] or able
         if call.route is not None and able:
             # Last: rules order what the gates have left, and never open one.
-            tiers = [call.route.tiers.get(pool.cell, call.route.tier) for pool in able]
+            tiers = [call.route.tiers.get(pool.cell, call.route.default_tier) for pool in able]
             able = [pool for pool, tier in zip(able, tiers, strict=True) if tier == min(tiers)]
         for pool in able:
             if pool.cell == call.first_choice:
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.coordination.values import decode_record
 
 CONFIRMATIONS_PREFIX = "rules/at/"
 FORMAT = 1
@@ -42,20 +42,22 @@
 def confirmations(snapshot: Snapshot) -> dict[str, Confirmation]:
     """Read the confirmations by softswitch; unreadable ones are left out."""
     confirmations: dict[str, Confirmation] = {}
-    for entry in snapshot.below(CONFIRMATIONS_PREFIX):
-        confirmation = decoded(entry.value, Confirmation, FORMAT)
+    for entry in snapshot.with_prefix(CONFIRMATIONS_PREFIX):
+        confirmation = decode_record(entry.value, Confirmation, FORMAT)
         if confirmation is not None and len(confirmation.why) <= MAX_REASON_LENGTH:
             confirmations[entry.key.removeprefix(CONFIRMATIONS_PREFIX)] = confirmation
     return confirmations
 
 
-def confirmation_attempt(snapshot: Snapshot, softswitch: str, confirmation: Confirmation) -> Attempt | None:
+def confirmation_attempt(
+    snapshot: Snapshot, softswitch: str, confirmation: Confirmation
+) -> Transaction | None:
     """Build the write of a confirmation; None if the store holds it already."""
     entry, value = snapshot.find(CONFIRMATIONS_PREFIX + softswitch), msgspec.json.encode(confirmation)
     if entry is not None and entry.value == value:
         return None
-    compare = Compare(CONFIRMATIONS_PREFIX + softswitch, entry.mod if entry is not None else 0)
-    return Attempt((compare,), (Write(CONFIRMATIONS_PREFIX + softswitch, value),))
+    compare = Compare(CONFIRMATIONS_PREFIX + softswitch, entry.mod_revision if entry is not None else 0)
+    return Transaction((compare,), (Write(CONFIRMATIONS_PREFIX + softswitch, value),))
 
 
 def confirmation_status(
--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -18,14 +18,20 @@
 from hdrh.histogram import HdrHistogram
 
 from pearloom.coordination.port import Snapshot
-from pearloom.coordination.values import decoded
-from pearloom.core.ends import End
+from pearloom.coordination.values import decode_record
+from pearloom.core.outcomes import CallOutcome
 
 EVIDENCE_PREFIX = "evidence/"
 FORMAT = 1
 BUCKETS_PER_STAGE = 32  # equal parts of a stage's maximum duration
-COUNTED_OUTCOMES = (End.STOOD, End.LATE, End.REFUSED, End.FAILED, End.CUT)
-BAD_OUTCOMES = (End.LATE, End.REFUSED, End.FAILED, End.CUT)
+COUNTED_OUTCOMES = (
+    CallOutcome.STOOD,
+    CallOutcome.LATE,
+    CallOutcome.REFUSED,
+    CallOutcome.FAILED,
+    CallOutcome.CUT,
+)
+BAD_OUTCOMES = (CallOutcome.LATE, CallOutcome.REFUSED, CallOutcome.FAILED, CallOutcome.CUT)
 MAX_DELAY_MS, DELAY_DIGITS = 60_000, 2
 MAX_COUNT = 1 << 53
 STAGE_IDS_PER_ROLLOUT = 64  # a stage id combines the rollout's id and the stage's index
@@ -92,7 +98,7 @@
         self._bucket_ms = max(bucket_ms, 1.0)
         self._outcomes: dict[tuple[str, int], list[list[int]]] = {}
         self._delays: dict[tuple[str, int], HdrHistogram] = {}
-        self._squares: dict[tuple[str, int, End], SquaredCounts] = {}
+        self._squares: dict[tuple[str, int, CallOutcome], SquaredCounts] = {}
 
     def arrival_mark(self, now_ms: float) -> int:
         """Return the stage and bucket of a call that arrives now, as a number to keep with the call."""
@@ -101,7 +107,13 @@
         )
 
     def record_end(
-        self, version: str, mark: int, class_index: int, outcome: End, duration_ms: float, now_ms: float
+        self,
+        version: str,
+        mark: int,
+        class_index: int,
+        outcome: CallOutcome,
+        duration_ms: float,
+        now_ms: float,
     ) -> None:
         """Count an outcome of a call that arrived with this mark, if it arrived in this stage."""
         if mark // BUCKETS_PER_STAGE != self.stage_id or outcome not in COUNTED_OUTCOMES or not self.stage_id:
@@ -111,7 +123,7 @@
         while len(rows) <= bucket:
             rows.append([0] * len(COUNTED_OUTCOMES))
         rows[bucket][COUNTED_OUTCOMES.index(outcome)] += 1
-        if outcome is not End.CUT:
+        if outcome is not CallOutcome.CUT:
             histogram = self._delays.get(key)
             if histogram is None:
                 histogram = self._delays[key] = HdrHistogram(1, MAX_DELAY_MS, DELAY_DIGITS)
@@ -159,7 +171,7 @@
 
 def decode(value: bytes) -> Evidence | None:
     """Decode a published value; None if it is unreadable or out of range."""
-    evidence = decoded(value, Evidence, FORMAT)
+    evidence = decode_record(value, Evidence, FORMAT)
     if evidence is None:
         return None
     rows = [
@@ -185,7 +197,7 @@
     """Return a stage's evidence by softswitch and incarnation, and the keys of unreadable values."""
     by_incarnation: dict[tuple[str, int], Evidence] = {}
     unreadable: list[str] = []
-    for entry in snapshot.below(EVIDENCE_PREFIX):
+    for entry in snapshot.with_prefix(EVIDENCE_PREFIX):
         name, _, incarnation = entry.key.removeprefix(EVIDENCE_PREFIX).rpartition("/")
         evidence = decode(entry.value)
         if evidence is None or entry.key != evidence_key(name, evidence.incarnation):
--- a/pearloom/rollout/guard.py
+++ b/pearloom/rollout/guard.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from math import log
 
-from pearloom.core.ends import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout.evidence import BAD_OUTCOMES, COUNTED_OUTCOMES, SquaredCounts
 from pearloom.rollout.judge import Finding, Stratum, dispersion, log_evidence
 
@@ -54,7 +54,7 @@
     classes: Sequence[str]
     _counts: dict[tuple[str, int], _DecayingCounts] = field(default_factory=dict)
 
-    def record_outcome(self, version: str, class_index: int, outcome: End, now_ms: float) -> None:
+    def record_outcome(self, version: str, class_index: int, outcome: CallOutcome, now_ms: float) -> None:
         """Count an outcome of a call that arrived under this version."""
         if outcome not in COUNTED_OUTCOMES:
             return
@@ -83,14 +83,14 @@
         return worst.describe(rate) if worst is not None and worst.log_evidence >= threshold else ""
 
     def _finding(
-        self, class_name: str, class_index: int, outcome: End, new: str, old: str, tolerance: float
+        self, class_name: str, class_index: int, outcome: CallOutcome, new: str, old: str, tolerance: float
     ) -> Finding | None:
         new_counts, old_counts = self._counts.get((new, class_index)), self._counts.get((old, class_index))
         if new_counts is None or old_counts is None:
             return None
         index, calls = (
             COUNTED_OUTCOMES.index(outcome),
-            2 if outcome is End.CUT else COUNTED_OUTCOMES.index(End.CUT),
+            2 if outcome is CallOutcome.CUT else COUNTED_OUTCOMES.index(CallOutcome.CUT),
         )
         stratum = Stratum(
             int(new_counts.outcomes[index]), int(sum(new_counts.outcomes[:calls])),
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -14,11 +14,11 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination import Attempt, Compare, Link, Outcome, Snapshot, Write
-from pearloom.coordination.pace import patience_ms, rank
+from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
+from pearloom.coordination.timing import contention_delay_ms, rank
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
+from pearloom.core.outcomes import CallOutcome
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
 from pearloom.rollout.confirm import Confirmation, ConfirmationStatus
@@ -80,11 +80,11 @@
             try:
                 action()
             except Exception:
-                crashed(event)
+                log_exception(event)
             gevent.sleep(pause_s)
 
     def _record_outcome(
-        self, version: str, mark: int, class_index: int, outcome: End, duration_ms: float
+        self, version: str, mark: int, class_index: int, outcome: CallOutcome, duration_ms: float
     ) -> None:
         now = self._now_ms()
         self._tally.record_end(version, mark, class_index, outcome, duration_ms, now)
@@ -129,7 +129,7 @@
             if snapshot is not None
             else None
         )
-        if snapshot is None or (attempt is not None and self._link.attempt(attempt) is not Outcome.WON):
+        if snapshot is None or (attempt is not None and self._link.commit(attempt) is not Outcome.WON):
             self._link.read_again()
             self._confirmation_due.set()
 
@@ -155,7 +155,7 @@
         entry = snapshot.find(key)
         outdated = _outdated_keys(snapshot, name, incarnation, published.stage)
         writes = (Write(key, evidence.encode(published)), *(Write(old_key, None) for old_key in outdated))
-        outcome = self._link.attempt(Attempt((Compare(key, entry.mod if entry else 0),), writes))
+        outcome = self._link.commit(Transaction((Compare(key, entry.mod_revision if entry else 0),), writes))
         if outcome is Outcome.WON:
             self._sequence += 1
         elif outcome is Outcome.LOST:
@@ -173,7 +173,7 @@
             return
         self._check_guard(head, rollout)
         self._observe_evidence(rollout, now)
-        if not self._link.fresh:
+        if not self._link.is_fresh:
             return
         self._publish(rollout, now)
         if now - self._last_judged_ms < rollout.terms.look_ms * min(
@@ -191,23 +191,23 @@
 
     def _rank(self, rollout: Rollout) -> int:
         """Return how many live softswitches judge more often than this one; the order differs by stage."""
-        live = [member.name for member in self._member.view.acting]
+        live = [member.name for member in self._member.view.live_members]
         return rank(f"{rollout.id} {rollout.stage}", self._member.name, live)
 
     def _is_due(self, step: steps.RolloutStep, rollout: Rollout, now: float) -> bool:
         key = f"{rollout.id} {rollout.stage} {step.operation.value}"
         if self._pending_step[0] != key:
             self._pending_step = (key, now)
-        live = [member.name for member in self._member.view.acting]
-        return now - self._pending_step[1] >= patience_ms(key, self._member.name, live)
+        live = [member.name for member in self._member.view.live_members]
+        return now - self._pending_step[1] >= contention_delay_ms(key, self._member.name, live)
 
     def _attempt(self, step: steps.RolloutStep) -> None:
         # Checks the lease again right before the write: the process may have been suspended since the step.
-        outcome = self._link.attempt(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.attempt) if self._link.may_act() else Outcome.LOST
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             is_halt = step.operation is Operation.HALTED
-            note(
+            log_event(
                 logging.ERROR if is_halt else logging.INFO,
                 "rollout",
                 did=step.operation.value,
@@ -220,7 +220,7 @@
         if snapshot is None or now - self._last_observed_ms < OBSERVE_INTERVAL_MS:
             return
         self._last_observed_ms = now
-        if not self._link.fresh:
+        if not self._link.is_fresh:
             self._last_cut_off_ms = now
             return
         published, _ = evidence.read_evidence(snapshot, self._tally.stage_id)
@@ -250,19 +250,19 @@
         return steps.StageObservation(
             self._now_ms(), self._stage_start_ms, last_published_ms, published,
             confirm.confirmations(snapshot),
-            {member.name: member.zone for member in self._member.view.acting},
-            self._link.fresh, self._store_lost_ms,
+            {member.name: member.zone for member in self._member.view.live_members},
+            self._link.is_fresh, self._store_lost_ms,
         )  # fmt: skip
 
     def _check_guard(self, head: Head, rollout: Rollout) -> None:
         """Leave the rollout if the store is out of reach and this softswitch's own outcomes regressed."""
-        if self._link.fresh or self._rules.left_rollout or self._rules.version != rollout.version:
+        if self._link.is_fresh or self._rules.left_rollout or self._rules.version != rollout.version:
             return
         terms = rollout.terms
         reason = self._guard.regression(rollout.version, head.version, terms.tolerance, terms.rate)
         if reason:
             self._counters.add("rules_left")
-            note(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=reason)
+            log_event(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=reason)
             self._leave_reason = reason
             self._rules.leave_rollout(rollout.id)
 
@@ -270,7 +270,7 @@
         """Return which softswitches have not yet confirmed the head."""
         view, snapshot = self._member.view, self._link.snapshot
         confirmations = confirm.confirmations(snapshot) if snapshot is not None else {}
-        live = {member.name: member.incarnation for member in view.acting}
+        live = {member.name: member.incarnation for member in view.live_members}
         return confirm.confirmation_status(state.head.number, live, view.missing, confirmations)
 
     def confirmations(self) -> dict[str, Confirmation]:
@@ -291,7 +291,7 @@
 
     These are values of other stages, and the oldest ones of this stage beyond `MAX_FORMER_INCARNATIONS`; at
     most eight at a time."""
-    own = snapshot.below(f"{evidence.EVIDENCE_PREFIX}{name}/")
+    own = snapshot.with_prefix(f"{evidence.EVIDENCE_PREFIX}{name}/")
     former = [entry for entry in own if entry.key != evidence.evidence_key(name, incarnation)]
     in_stage = [
         entry for entry in former
@@ -302,6 +302,8 @@
         outdated
         + [
             entry.key
-            for entry in sorted(in_stage, key=lambda stored: stored.mod)[: -evidence.MAX_FORMER_INCARNATIONS]
+            for entry in sorted(in_stage, key=lambda stored: stored.mod_revision)[
+                : -evidence.MAX_FORMER_INCARNATIONS
+            ]
         ]
     )[:8]
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from math import exp, log, log1p
 
-from pearloom.core.ends import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.rollout.evidence import BAD_OUTCOMES, COUNTED_OUTCOMES, Evidence, OutcomeCounts, sum_counts
 
 RATIOS = (1.25, 1.6, 2.0, 3.0, 5.0, 10.0, 30.0, 100.0)  # alternatives of the mixture, x the tolerance
@@ -48,7 +48,7 @@
     `log_evidence` is the natural logarithm of the evidence for a regression; 0 is no evidence."""
 
     class_name: str
-    end: End
+    end: CallOutcome
     bad_new: int
     new: int
     bad_old: int
@@ -171,13 +171,15 @@
         for class_name in sorted(class_names)
         for outcome in BAD_OUTCOMES
     ]
-    calls = sum(sum(sum_counts(sides[0])[: COUNTED_OUTCOMES.index(End.CUT)]) for sides in rows.values())
+    calls = sum(
+        sum(sum_counts(sides[0])[: COUNTED_OUTCOMES.index(CallOutcome.CUT)]) for sides in rows.values()
+    )
     return Judgement(tuple(findings), _log_mean([finding.log_evidence for finding in findings]), calls)
 
 
 def _finding(
     class_name: str,
-    outcome: End,
+    outcome: CallOutcome,
     rows: Mapping[tuple[str, str, int], Sequence[Sequence[OutcomeCounts]]],
     published: Mapping[tuple[str, int], Evidence],
     versions: tuple[str, str],
@@ -185,7 +187,7 @@
 ) -> Finding:
     index, strata = COUNTED_OUTCOMES.index(outcome), list[Stratum]()
     # Only established calls can be cut; any other outcome is relative to all calls.
-    calls = slice(0, 2) if outcome is End.CUT else slice(0, COUNTED_OUTCOMES.index(End.CUT))
+    calls = slice(0, 2) if outcome is CallOutcome.CUT else slice(0, COUNTED_OUTCOMES.index(CallOutcome.CUT))
     for (name, _, _), (new_rows, old_rows) in rows.items():
         if name == class_name:
             new, old = list(sum_counts(new_rows)), list(sum_counts(old_rows))
--- a/pearloom/rollout/steps.py
+++ b/pearloom/rollout/steps.py
@@ -22,7 +22,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from pearloom.coordination.port import Attempt
+from pearloom.coordination.port import Transaction
 from pearloom.rollout import stages
 from pearloom.rollout.confirm import Confirmation
 from pearloom.rollout.evidence import Evidence
@@ -53,7 +53,7 @@
 
     operation: Operation
     reason: str
-    attempt: Attempt
+    attempt: Transaction
 
 
 def next_step(
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -30,8 +30,8 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.coordination.values import decode_record
 from pearloom.rules.records import (
     EMPTY_VERSION,
     FORMAT,
@@ -169,21 +169,23 @@
     unreadable: list[str] = []
     entry, head = snapshot.find(HEAD_KEY), Head()
     if entry is not None:
-        decoded_head = decoded(entry.value, Head, FORMAT)
+        decoded_head = decode_record(entry.value, Head, FORMAT)
         if decoded_head is None or not _is_valid(decoded_head):
             unreadable.append(HEAD_KEY)
         else:
             head = decoded_head
     log: list[LogEntry] = []
-    for stored in snapshot.below(LOG_PREFIX):
-        log_entry = decoded(stored.value, LogEntry, FORMAT)
+    for stored in snapshot.with_prefix(LOG_PREFIX):
+        log_entry = decode_record(stored.value, LogEntry, FORMAT)
         if log_entry is None or stored.key != _log_key(log_entry.number):
             unreadable.append(stored.key)
         else:
             log.append(log_entry)
-    versions = tuple(stored.key.removeprefix(VERSIONS_PREFIX) for stored in snapshot.below(VERSIONS_PREFIX))
+    versions = tuple(
+        stored.key.removeprefix(VERSIONS_PREFIX) for stored in snapshot.with_prefix(VERSIONS_PREFIX)
+    )
     orphaned = tuple(_log_key(logged.number) for logged in log if logged.number > head.number)
-    mod_revision, value = (entry.mod, entry.value) if entry else (0, None)
+    mod_revision, value = (entry.mod_revision, entry.value) if entry else (0, None)
     return HeadState(head, mod_revision, value, tuple(log), tuple(unreadable), versions, orphaned)
 
 
@@ -222,7 +224,7 @@
     request: Request,
     highest_seen: int,
     more_writes: Iterable[Write] = (),
-) -> Attempt:
+) -> Transaction:
     """Build the transaction to the next head; its number exceeds `highest_seen`, the highest one seen."""
     number = max(state.head.number, highest_seen) + 1
     head = msgspec.structs.replace(head, number=number, tag=request.tag)
@@ -240,7 +242,7 @@
     written = {write.key for write in writes}
     writes += [Write(key, None) for key in _outdated_keys(state, head, entry) if key not in written]
     # Compares the value too: a store that lost its last writes reuses revisions, but the value holds the tag.
-    return Attempt((Compare(HEAD_KEY, state.mod_revision, state.value),), tuple(writes))
+    return Transaction((Compare(HEAD_KEY, state.mod_revision, state.value),), tuple(writes))
 
 
 def _outdated_keys(state: HeadState, head: Head, entry: LogEntry) -> list[str]:
@@ -284,7 +286,7 @@
     terms: RolloutTerms,
     stay: bool = False,
     highest_seen: int = 0,
-) -> Attempt:
+) -> Transaction:
     """Start a rollout of `rules`, or set them at once if `stages` is empty.
 
     `expected` is the number of the head that the proposal is based on. A RulesError gives the reason of a
@@ -316,7 +318,7 @@
     return rollout
 
 
-def widen(state: HeadState, members: tuple[str, ...], request: Request, highest_seen: int = 0) -> Attempt:
+def widen(state: HeadState, members: tuple[str, ...], request: Request, highest_seen: int = 0) -> Transaction:
     """Go to the next stage, with these members in addition to the present ones."""
     rollout = _active_rollout(state)
     if rollout.is_last_stage:
@@ -328,7 +330,7 @@
     )
 
 
-def halt(state: HeadState, request: Request, highest_seen: int = 0) -> Attempt:
+def halt(state: HeadState, request: Request, highest_seen: int = 0) -> Transaction:
     """Halt the rollout; `request.reason`, with its figures, is stored in the head."""
     halted = msgspec.structs.replace(_active_rollout(state), halted=request.reason or "halted")
     return _step(
@@ -336,7 +338,7 @@
     )
 
 
-def complete(state: HeadState, request: Request, highest_seen: int = 0) -> Attempt:
+def complete(state: HeadState, request: Request, highest_seen: int = 0) -> Transaction:
     """Put the new version in force on the whole fleet and end the rollout."""
     rollout, head = _active_rollout(state), state.head
     if not rollout.is_last_stage:
@@ -347,7 +349,7 @@
 
 def undo(
     state: HeadState, request: Request, expected: int | None = None, to: str = "", highest_seen: int = 0
-) -> Attempt:
+) -> Transaction:
     """Revert the last edit, or go to the version `to`; a rollout ends in either case."""
     _check_head(state, expected)
     head = state.head
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -14,11 +14,11 @@
 from gevent.event import Event
 
 from pearloom.coordination import Link, Snapshot
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
+from pearloom.core.outcomes import CallOutcome
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
 from pearloom.rules.head import HEAD_KEY, Head, HeadState, may_apply, read_head_state, rules_of
 from pearloom.rules.records import EMPTY_VERSION, RuleSet
 from pearloom.rules.settings import RulesSettings
@@ -27,7 +27,7 @@
 
 SNAPSHOT_INTERVAL_S = 0.05  # minimum time between two writes of the snapshot
 OnOutcome = Callable[
-    [str, int, int, End, float], None
+    [str, int, int, CallOutcome, float], None
 ]  # version, arrival mark, class, outcome, ms since arrival
 
 
@@ -61,14 +61,16 @@
         self._snapshot_due = Event()
         link.on_change.append(self._handle_change)
 
-    def way(self, offer: Offer) -> CallRoute:
+    def route_for(self, offer: SetUpRequest) -> CallRoute:
         """Route a call by the version in force."""
         table = self._table
         return CallRoute(
-            table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.arrival_mark()
+            table.version,
+            table.route(offer.class_index, offer.tenant, offer.first_choice),
+            self.arrival_mark(),
         )
 
-    def ended(self, way: CallRoute, class_index: int, end: End, took_ms: float) -> None:
+    def record_outcome(self, way: CallRoute, class_index: int, end: CallOutcome, took_ms: float) -> None:
         """Record an outcome of a call that arrived under the version `way.version`."""
         self.on_outcome(way.version, way.mark, class_index, end, took_ms)
 
@@ -102,7 +104,7 @@
             self._handle_change(self._link.snapshot)
         elif self.applied_head is not None:
             self._activate(self.applied_head)
-        note(
+        log_event(
             logging.INFO if answered else logging.WARNING, "rules_ready", version=self.version,
             head=self.applied_head.number if self.applied_head else 0, store=answered,
         )  # fmt: skip
@@ -112,7 +114,7 @@
         if entry is None and self.applied_head is None:
             self.divergence = ""  # no head has been written yet
             return
-        revision = entry.mod if entry is not None else 0
+        revision = entry.mod_revision if entry is not None else 0
         if revision == self._head_revision and not self.divergence:
             return  # another key changed, such as published evidence: the head is not decoded again
         self._head_revision = revision
@@ -134,7 +136,7 @@
         if reported != self.divergence:
             self.divergence = reported
             self._counters.add("rules_diverged")
-            note(
+            log_event(
                 logging.ERROR,
                 "rules_diverged",
                 seen=self.applied_head.number if self.applied_head else 0,
@@ -156,7 +158,7 @@
             self._report_divergence(f"{head.number} without its rules")
             return
         if self.divergence:
-            note(logging.INFO, "rules_converged", head=head.number)
+            log_event(logging.INFO, "rules_converged", head=head.number)
         self.divergence, self.applied_head, self._rule_sets = (
             "",
             head,
@@ -191,7 +193,7 @@
             return
         if version != self._table.version:
             self._counters.add("rules_changed")
-            note(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
+            log_event(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
         self._table = RoutingTable(version, rules, replace(self.context, cells=self._zone_cells()))
         for on_applied in self.on_applied:
             on_applied()
--- a/pearloom/rules/snapshots.py
+++ b/pearloom/rules/snapshots.py
@@ -15,7 +15,7 @@
 import gevent
 import msgspec
 
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
 from pearloom.rules.head import Head
 from pearloom.rules.records import FORMAT, RuleSet, version_of
 
@@ -48,10 +48,10 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            note(logging.ERROR, "rules_snapshot_unusable", reason=str(error)[:200])
+            log_event(logging.ERROR, "rules_snapshot_unusable", reason=str(error)[:200])
             return None
         age_s = time.time() - snapshot.at_ms / 1000.0
-        note(logging.WARNING, "rules_from_snapshot", head=snapshot.head.number, age_s=age_s)
+        log_event(logging.WARNING, "rules_from_snapshot", head=snapshot.head.number, age_s=age_s)
         return snapshot
 
     def write(self, head: Head, versions: dict[str, RuleSet]) -> None:
@@ -62,7 +62,7 @@
         # Runs in a thread, so that a slow disk does not delay calls.
         error = gevent.get_hub().threadpool.apply(_replace_file, (self._path, body))
         if error:
-            note(logging.ERROR, "rules_snapshot_failed", reason=error)
+            log_event(logging.ERROR, "rules_snapshot_failed", reason=error)
 
 
 def _replace_file(path: str, body: bytes) -> str:
--- a/pearloom/rules/table.py
+++ b/pearloom/rules/table.py
@@ -71,7 +71,7 @@
         if not closed_cells:
             return self.route
         base = self.route or Route()
-        return Route(base.only, closed_cells, base.tiers, base.tier, base.weights)
+        return Route(base.allowed_cells, closed_cells, base.tiers, base.default_tier, base.weights)
 
 
 class RoutingTable:
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -19,11 +19,11 @@
 from pearloom.core.config import Address, ListUpdate, Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import Malformed
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 from pearloom.servers.discovery import PoolView
 
 DIAL_S = 1.0
-SILENT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
+FRAME_TIMEOUT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
 REDIAL_S = 0.1
 MOST_BYTES = 1 << 20
 READ_BYTES = 64 * 1024
@@ -83,7 +83,7 @@
     return ListUpdate(number, kind == _WHOLE, tuple(servers))
 
 
-def cached(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
+def merge_updates(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
     """The list that the known events add up to."""
     servers: dict[str, Server] = {}
     for update in updates:
@@ -99,7 +99,7 @@
 
     Guards against a stream that falls silent, be it in the middle of a frame or with a byte now and then: a
     whole frame is owed each second."""
-    with gevent.Timeout(SILENT_S, TimeoutError("no whole frame")):
+    with gevent.Timeout(FRAME_TIMEOUT_S, TimeoutError("no whole frame")):
         while True:
             data = sock.recv(READ_BYTES)
             if not data:
@@ -122,7 +122,7 @@
         self._counters = counters
         self._sock: socket.socket | None = None
         self._moved = False  # the connection at hand was closed by a move, not lost
-        self.heard = False  # has a coordinator told anything, if only that there is nothing new?
+        self.has_received = False  # has a coordinator told anything, if only that there is nothing new?
 
     def start(self) -> None:
         """Follow from now on."""
@@ -143,14 +143,14 @@
                 self._connection()
             except OSError as trouble:
                 if not self._moved:
-                    note(logging.WARNING, "coordinator_lost", index=self.index, reason=str(trouble))
+                    log_event(logging.WARNING, "coordinator_lost", index=self.index, reason=str(trouble))
             except Exception:
-                crashed("coordinator_failed", index=self.index)
+                log_exception("coordinator_failed", index=self.index)
             if self._moved:
                 # Guards against taking a move for a loss: it is no warning, and the new address is asked at
                 # once, not after the pause that spares a coordinator that has just failed.
                 host, port = self._address
-                note(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
+                log_event(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
             else:
                 gevent.sleep(REDIAL_S)
 
@@ -166,21 +166,21 @@
             decoder = Decoder(self._zones)
             while True:
                 for update in _next_frames(sock, decoder):
-                    self.take(update)
+                    self.apply_event(update)
         finally:
             sock.close()
 
-    def take(self, update: ListUpdate | Heartbeat | Malformed) -> None:
+    def apply_event(self, update: ListUpdate | Heartbeat | Malformed) -> None:
         """One event; one that is known already changes nothing."""
-        self.heard = True
+        self.has_received = True
         if isinstance(update, Malformed):
-            note(logging.WARNING, "coordinator_malformed", reason=update.reason)
+            log_event(logging.WARNING, "coordinator_malformed", reason=update.reason)
             if update.fatal:
                 raise ConnectionError("malformed")
         elif isinstance(update, ListUpdate) and update.index > self.index:
             self.index = update.index
             self._counters.add("list_events_in")
             states = ",".join(f"{one.entry.server}:{one.entry.state.value}" for one in update.servers)
-            note(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
+            log_event(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
             kind = api.ListKind.COMPLETE if update.whole else api.ListKind.CHANGES
-            self._listing.told(kind, update.servers)
+            self._listing.apply_event(kind, update.servers)
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearloom.coordination import Attempt, Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Write
+from pearloom.coordination import Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Transaction, Write
 from pearloom.coordination.etcd import EtcdStore
-from pearloom.coordination.pace import MOST_MS, Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import Changes, applied, took_effect
+from pearloom.coordination.timing import MOST_MS, Backoff, Freshness, Hold, LocalLease
 from pearloom.core.counters import Counters
 from pearloom.fakes.etcd import Gateway
 
@@ -34,8 +34,8 @@
         until(lambda: self.link.snapshot is not None and self.link.may_act())
         return self
 
-    def write(self, key: str, value: bytes) -> Attempt:
-        return Attempt((Compare(key, 0),), (Write(key, value),))
+    def write(self, key: str, value: bytes) -> Transaction:
+        return Transaction((Compare(key, 0),), (Write(key, value),))
 
 
 def until(holds: Callable[[], bool], most_s: float = 8.0) -> None:
@@ -78,9 +78,9 @@
 def test_a_winner_whose_reply_was_lost_learns_that_it_won(pair: Pair) -> None:
     link = pair.start().link
     pair.gateway.faults.lose_replies = 1
-    assert link.attempt(pair.write("turn", b"n1:7")) is Outcome.WON
+    assert link.commit(pair.write("turn", b"n1:7")) is Outcome.WON
     assert pair.counters.get("store_read_back") == 1
-    assert link.attempt(pair.write("turn", b"n1:8")) is Outcome.LOST
+    assert link.commit(pair.write("turn", b"n1:8")) is Outcome.LOST
 
 
 def test_a_link_stops_acting_before_its_lease_can_have_ended(pair: Pair) -> None:
@@ -88,7 +88,7 @@
     pair.gateway.faults.paused = True
     until(lambda: not link.may_act())
     assert pair.gateway.store.time_to_live(link.lease.number, pair.gateway._clock())[0] >= 0
-    assert link.attempt(Attempt((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
+    assert link.commit(Transaction((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
     gevent.sleep(0.5)  # the lease ends at the store
     pair.gateway.faults.paused = False
     until(link.may_act)
@@ -108,7 +108,7 @@
 def test_an_older_store_is_named_and_read_anew(pair: Pair) -> None:
     pair.gateway.store.save()
     link = pair.start().link
-    assert link.attempt(pair.write("late", b"1")) is Outcome.WON
+    assert link.commit(pair.write("late", b"1")) is Outcome.WON
     until(lambda: link.snapshot is not None and link.snapshot.find("late") is not None)
     pair.gateway.restart(without_last_writes=True)
     until(lambda: pair.counters.get("store_diverged") > 0)
@@ -123,7 +123,7 @@
 
 # --- the decisions alone ------------------------------------------------------------------------------------
 def test_a_lease_counts_from_the_asking_and_is_unsure_before_its_end() -> None:
-    lease = OwnLease(10_000.0)
+    lease = LocalLease(10_000.0)
     assert lease.hold(0.0) is Hold.NONE
     lease.granted(7, asked_ms=1_000.0)
     assert lease.hold(10_499.0) is Hold.HELD
@@ -166,7 +166,7 @@
     ],
 )
 def test_a_lost_reply_is_settled_from_what_is_there(now: Snapshot, told: bool | None) -> None:
-    attempt = Attempt((Compare("k", 5),), (Write("k", b"mine"),))
+    attempt = Transaction((Compare("k", 5),), (Write("k", b"mine"),))
     assert took_effect(attempt, attempt.compares, now) is told
 
 
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -17,8 +17,8 @@
     run_state_machine_as_test,
 )
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.core.ends import End
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.core.outcomes import CallOutcome
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
@@ -31,7 +31,7 @@
 ZONES = {"n1": "a", "n2": "b", "n3": "b"}
 TERMS = RolloutTerms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
 names = st.sampled_from(sorted(ZONES))
-ends = st.sampled_from([End.STOOD, End.STOOD, End.LATE, End.FAILED])
+ends = st.sampled_from([CallOutcome.STOOD, CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.FAILED])
 
 
 class Softswitch:
@@ -70,9 +70,9 @@
         self.calls: dict[int, int] = {}  # made in each stage, by its mark
         self.highest, self.halted = 0, set[int]()
 
-    def write(self, attempt: Attempt) -> bool:
+    def write(self, attempt: Transaction) -> bool:
         if self.blind:
-            attempt = Attempt((), attempt.writes)
+            attempt = Transaction((), attempt.writes)
         after = apply(self.store, attempt)
         if after is None:
             return False
@@ -97,7 +97,7 @@
             one.heard[other] = self.now
 
     @rule(name=names, ends=st.lists(ends, max_size=8))
-    def takes_calls(self, name: str, ends: list[End]) -> None:
+    def takes_calls(self, name: str, ends: list[CallOutcome]) -> None:
         one = self.fleet[name]
         version = one.obeyed.version_at(name) if one.obeyed else EMPTY_VERSION
         for end in ends:
@@ -114,7 +114,7 @@
         held = one.read.find(key)
         value = one.tally.evidence(one.life, one.told + 1, ZONES[name], 0, self.now)
         write = Write(key, evidence.encode(value))
-        if self.write(Attempt((Compare(key, held.mod if held else 0),), (write,))) and not lost:
+        if self.write(Transaction((Compare(key, held.mod_revision if held else 0),), (write,))) and not lost:
             one.told += 1
             one.read = self.store
 
--- a/tests/rules/test_head.py
+++ b/tests/rules/test_head.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from pearloom.coordination.port import Attempt, Compare, Entry, Snapshot, took_effect
+from pearloom.coordination.port import Compare, Entry, Snapshot, Transaction, took_effect
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rules import head as steps
 from pearloom.rules.head import (
@@ -60,7 +60,7 @@
     def head(self) -> Head:
         return self.state.head
 
-    def commit(self, attempt: Attempt) -> None:
+    def commit(self, attempt: Transaction) -> None:
         after = apply(self.snapshot, attempt)
         assert after is not None, "no other writer interferes"
         self.snapshot = after
@@ -157,8 +157,8 @@
 def test_log_and_versions_are_bounded_and_versions_of_the_head_are_kept(store: FakeStore) -> None:
     for index in range(3 * MAX_LOG_ENTRIES):
         store.set_rules(f"r{index}")
-    assert len(store.snapshot.below(steps.LOG_PREFIX)) <= MAX_LOG_ENTRIES + 1
-    assert len(store.snapshot.below(steps.VERSIONS_PREFIX)) <= MAX_LOG_ENTRIES + 3
+    assert len(store.snapshot.with_prefix(steps.LOG_PREFIX)) <= MAX_LOG_ENTRIES + 1
+    assert len(store.snapshot.with_prefix(steps.VERSIONS_PREFIX)) <= MAX_LOG_ENTRIES + 3
     assert rules_of(store.snapshot, store.head.version) and rules_of(store.snapshot, store.head.before)
 
 
@@ -211,7 +211,7 @@
     """One softswitch: its last read, its pending attempt, its applied head, and whether its process runs."""
 
     read: Snapshot
-    pending: Attempt | None = None
+    pending: Transaction | None = None
     applied: Head | None = None
     is_awake: bool = True
 
@@ -226,7 +226,7 @@
     edits: int
 
 
-def possible_attempts(node: Node, world: World) -> Iterator[tuple[str, Attempt]]:
+def possible_attempts(node: Node, world: World) -> Iterator[tuple[str, Transaction]]:
     state = read_head_state(node.read)
     rollout, number = state.head.rollout, state.head.number
     seen = node.applied.number if node.applied else 0
@@ -264,10 +264,10 @@
         if node.pending is not None:
             attempt_tried = node.pending
             if defect == "no compare":
-                attempt_tried = Attempt((), attempt_tried.writes)
+                attempt_tried = Transaction((), attempt_tried.writes)
             elif defect == "no value":
-                attempt_tried = Attempt(
-                    tuple(Compare(compare.key, compare.mod) for compare in attempt_tried.compares),
+                attempt_tried = Transaction(
+                    tuple(Compare(compare.key, compare.mod_revision) for compare in attempt_tried.compares),
                     attempt_tried.writes,
                 )
             after = apply(world.store, attempt_tried)
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -65,12 +65,15 @@
 @pytest.mark.parametrize(
     ("effect", "route"),
     [
-        (Prefer((1,)), Route(tiers={1: TIER_PREFERRED}, tier=TIER_DEFAULT)),
-        (Prefer(zones=("dublin",)), Route(tiers={2: TIER_PREFERRED}, tier=TIER_DEFAULT)),
-        (Avoid((1,)), Route(tiers={1: TIER_AVOIDED}, tier=TIER_DEFAULT)),
-        (Only((1, 2)), Route(only=frozenset({1, 2}), tier=TIER_DEFAULT)),
-        (Weigh(2.0, (1,)), Route(tier=TIER_DEFAULT, weights={1: 2.0})),
-        (Spill(("dublin", "lyon")), Route(tiers={2: TIER_SPILL, 3: TIER_SPILL + 1}, tier=TIER_DEFAULT)),
+        (Prefer((1,)), Route(tiers={1: TIER_PREFERRED}, default_tier=TIER_DEFAULT)),
+        (Prefer(zones=("dublin",)), Route(tiers={2: TIER_PREFERRED}, default_tier=TIER_DEFAULT)),
+        (Avoid((1,)), Route(tiers={1: TIER_AVOIDED}, default_tier=TIER_DEFAULT)),
+        (Only((1, 2)), Route(allowed_cells=frozenset({1, 2}), default_tier=TIER_DEFAULT)),
+        (Weigh(2.0, (1,)), Route(default_tier=TIER_DEFAULT, weights={1: 2.0})),
+        (
+            Spill(("dublin", "lyon")),
+            Route(tiers={2: TIER_SPILL, 3: TIER_SPILL + 1}, default_tier=TIER_DEFAULT),
+        ),
     ],
 )
 def test_each_effect_gives_its_route(effect: Effect, route: Route) -> None:
@@ -92,7 +95,7 @@
     assert route is not None
     assert (
         route.tiers == {1: TIER_PREFERRED, 2: TIER_AVOIDED}
-        and route.only == frozenset({2})
+        and route.allowed_cells == frozenset({2})
         and route.weights == {1: 6.0}
     )
 
@@ -205,7 +208,9 @@
                 assert states[cell] is PoolState.READY
                 assert not CLASSES[class_index].cells or cell in CLASSES[class_index].cells
                 if route is not None:
-                    assert cell not in route.closed and (route.only is None or cell in route.only)
+                    assert cell not in route.closed_cells and (
+                        route.allowed_cells is None or cell in route.allowed_cells
+                    )
 
 
 def controller_with(*states: PoolState) -> Controller:
@@ -232,22 +237,22 @@
     three_ready = [PoolState.READY] * 3
     assert place_calls(controller_with(*three_ready), None, choice=1) == ["s-1"]
     assert place_calls(
-        controller_with(*three_ready), Route(tiers={2: TIER_PREFERRED}, tier=TIER_DEFAULT), choice=1
+        controller_with(*three_ready), Route(tiers={2: TIER_PREFERRED}, default_tier=TIER_DEFAULT), choice=1
     ) == ["s-2"]
     assert place_calls(
         controller_with(PoolState.READY, PoolState.READY, PoolState.DRAINING),
-        Route(tiers={2: TIER_PREFERRED}, tier=TIER_DEFAULT),
+        Route(tiers={2: TIER_PREFERRED}, default_tier=TIER_DEFAULT),
         1,
     ) == ["s-1"]
     assert place_calls(
-        controller_with(*three_ready), Route(tiers={1: TIER_AVOIDED}, tier=TIER_DEFAULT), choice=1
+        controller_with(*three_ready), Route(tiers={1: TIER_AVOIDED}, default_tier=TIER_DEFAULT), choice=1
     ) != ["s-1"]
 
 
 def test_a_call_without_an_allowed_cell_is_refused_at_once() -> None:
     three_ready = [PoolState.READY] * 3
-    assert place_calls(controller_with(*three_ready), Route(only=frozenset({9}))) == ["refused"]
-    assert place_calls(controller_with(*three_ready), Route(closed=frozenset({0, 1, 2}))) == ["refused"]
+    assert place_calls(controller_with(*three_ready), Route(allowed_cells=frozenset({9}))) == ["refused"]
+    assert place_calls(controller_with(*three_ready), Route(closed_cells=frozenset({0, 1, 2}))) == ["refused"]
 
 
 def test_a_held_call_restricted_by_its_rules_does_not_block_calls_behind_it() -> None:
@@ -257,7 +262,7 @@
     for cell in (0, 1):
         for index in range(200):
             now, call_id = now + 10, f"{cell}{index:015x}"
-            route = Route(only=frozenset({cell}))
+            route = Route(allowed_cells=frozenset({cell}))
             actions = controller.handle(now, api.CallArrived(call_id, 0, -1, 3_000_000, -1, route=route))
             set_ups = [action for action in actions if isinstance(action, api.SendSetUp)]
             assert all(action.server == f"s-{cell}" for action in set_ups)
@@ -278,7 +283,7 @@
     controller = controller_with(PoolState.READY, PoolState.READY, PoolState.DRAINING)
     open_limits = controller.limits
     assert set(open_limits) == {"s-0", "s-1"} and min(open_limits.values()) > 0
-    place_calls(controller, Route(only=frozenset({0})))
+    place_calls(controller, Route(allowed_cells=frozenset({0})))
     unreachable = api.AttemptEnded(f"{0:016x}", 0, "s-0", api.Ending.UNREACHABLE, 1_000)
     controller.handle(2_000, unreachable)
     assert controller.limits["s-0"] == 0.0 and controller.limits["s-1"] > 0
