--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -49,7 +49,7 @@
     return confirmations
 
 
-def confirmation_attempt(
+def confirmation_transaction(
     snapshot: Snapshot, softswitch: str, confirmation: Confirmation
 ) -> Transaction | None:
     """Build the write of a confirmation; None if the store holds it already."""
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -60,11 +60,12 @@
         self._stage_start_ms = self._last_publish_ms = self._last_judged_ms = now_ms()
         self._sequence = self._failed_decisions_before = 0
         self._leave_reason = ""
+        # By softswitch: incarnation and sequence number of the newest value, and when it was first read.
         self._latest_values: dict[str, tuple[tuple[int, int], float]] = {}
         self._sequences: dict[str, int] = {}  # sequence number by softswitch, as of the last fresh read
         self._store_lost_ms = self._last_observed_ms = 0.0
         self._last_cut_off_ms = self._last_halt_ms = float("-inf")
-        self._pending_step: tuple[str, float] = ("", 0.0)
+        self._pending_step: tuple[str, float] = ("", 0.0)  # its key, and when it was first computed
         self._confirmation_due = Event()
         rules.arrival_mark = lambda: self._tally.arrival_mark(self._now_ms())
         rules.on_outcome = self._record_outcome
@@ -124,12 +125,14 @@
             confirm.FORMAT, self._member.incarnation, head.number, self._rules.version,
             self._rules.left_rollout, self._leave_reason[: confirm.MAX_REASON_LENGTH],
         )  # fmt: skip
-        attempt = (
-            confirm.confirmation_attempt(snapshot, self._member.name, confirmation)
+        transaction = (
+            confirm.confirmation_transaction(snapshot, self._member.name, confirmation)
             if snapshot is not None
             else None
         )
-        if snapshot is None or (attempt is not None and self._link.commit(attempt) is not Outcome.WON):
+        if snapshot is None or (
+            transaction is not None and self._link.commit(transaction) is not Outcome.WON
+        ):
             self._link.read_again()
             self._confirmation_due.set()
 
@@ -187,7 +190,7 @@
         request = Request(self._member.name, secrets.token_hex(8), "", "", int(time.time() * 1000))
         step = steps.next_step(state, self.observe_stage(rollout), request, head.number)
         if step is not None and self._is_due(step, rollout, now):
-            self._attempt(step)
+            self._commit(step)
 
     def _rank(self, rollout: Rollout) -> int:
         """Return how many live softswitches judge more often than this one; the order differs by stage."""
@@ -201,9 +204,9 @@
         live = [member.name for member in self._member.view.live_members]
         return now - self._pending_step[1] >= contention_delay_ms(key, self._member.name, live)
 
-    def _attempt(self, step: steps.RolloutStep) -> None:
+    def _commit(self, step: steps.RolloutStep) -> None:
         # Checks the lease again right before the write: the process may have been suspended since the step.
-        outcome = self._link.commit(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.transaction) if self._link.may_act() else Outcome.LOST
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             is_halt = step.operation is Operation.HALTED
--- a/pearloom/rollout/steps.py
+++ b/pearloom/rollout/steps.py
@@ -1,4 +1,4 @@
-"""The next step of a rollout, as an attempt at the store. A decision: no I/O, float ms of a steady clock.
+"""The next step of a rollout, as a store transaction. A decision: no I/O; times are ms of a monotonic clock.
 
 | condition; the first row that holds applies | step |
 | --- | --- |
@@ -53,7 +53,7 @@
 
     operation: Operation
     reason: str
-    attempt: Transaction
+    transaction: Transaction
 
 
 def next_step(
--- a/pearloom/rules/head.py
+++ b/pearloom/rules/head.py
@@ -270,9 +270,9 @@
     rollout = state.head.rollout
     if rollout is not None and rollout.is_active:
         proposal = next((logged for logged in state.log if logged.number == rollout.id), None)
-        author = f" by {proposal.author or proposal.by}" if proposal else ""
+        proposed_by = f" by {proposal.author or proposal.by}" if proposal else ""
         raise RulesError(
-            f"rollout {rollout.id} of version {rollout.version}{author} is under way: undo it first"
+            f"rollout {rollout.id} of version {rollout.version}{proposed_by} is under way: undo it first"
         )
 
 
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -26,9 +26,8 @@
 from pearloom.rules.table import LocalContext, RoutingTable
 
 SNAPSHOT_INTERVAL_S = 0.05  # minimum time between two writes of the snapshot
-OnOutcome = Callable[
-    [str, int, int, CallOutcome, float], None
-]  # version, arrival mark, class, outcome, ms since arrival
+# Called with the version, arrival mark, class index, outcome, and ms since the arrival.
+OnOutcome = Callable[[str, int, int, CallOutcome, float], None]
 
 
 class RulesHost:
@@ -49,30 +48,30 @@
         self._snapshot_file = SnapshotFile(settings.snapshot)
         self._rule_sets: dict[str, RuleSet] = {EMPTY_VERSION: RuleSet()}
         self._table = RoutingTable(EMPTY_VERSION, RuleSet(), context)
-        self.applied_head: Head | None = (
-            None  # newest head applied here; newer than the store's after a loss of writes
-        )
+        self.applied_head: Head | None = None  # newest head ever applied here
         self.left_rollout = 0  # id of the rollout that this softswitch left by itself; 0: none
         self._head_revision = -1  # store revision of the head last read
         self.divergence = ""  # the store's head if it can't be applied: its number or the problem
         self.on_applied: list[Callable[[], None]] = []
-        self.on_outcome: OnOutcome = lambda version, mark, class_index, end, took_ms: None
+        self.on_outcome: OnOutcome = lambda version, mark, class_index, outcome, duration_ms: None
         self.arrival_mark: Callable[[], int] = lambda: 0
         self._snapshot_due = Event()
         link.on_change.append(self._handle_change)
 
-    def route_for(self, offer: SetUpRequest) -> CallRoute:
+    def route_for(self, request: SetUpRequest) -> CallRoute:
         """Route a call by the version in force."""
         table = self._table
         return CallRoute(
             table.version,
-            table.route(offer.class_index, offer.tenant, offer.first_choice),
+            table.route(request.class_index, request.tenant, request.first_choice),
             self.arrival_mark(),
         )
 
-    def record_outcome(self, way: CallRoute, class_index: int, end: CallOutcome, took_ms: float) -> None:
-        """Record an outcome of a call that arrived under the version `way.version`."""
-        self.on_outcome(way.version, way.mark, class_index, end, took_ms)
+    def record_outcome(
+        self, route: CallRoute, class_index: int, outcome: CallOutcome, duration_ms: float
+    ) -> None:
+        """Record an outcome of a call that arrived under the version `route.version`."""
+        self.on_outcome(route.version, route.mark, class_index, outcome, duration_ms)
 
     @property
     def version(self) -> str:
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -1,7 +1,8 @@
-"""A rollout over three softswitches as a state machine: kills, lost replies and stale reads in any order.
+"""A rollout over three softswitches as a state machine: restarts, lost replies and stale reads in any order.
 
-The real decisions on a store in memory. Beside the invariants of the head: no call is counted twice, whatever
-restarts; nothing widens on evidence of a softswitch that has not told; a halted rollout stays halted.
+Runs the real decisions on a store in memory. Checks the invariants of the head, and that no call is counted
+twice after restarts, that no stage widens before all its members have published, and that a halted rollout
+stays halted.
 """
 
 from __future__ import annotations
@@ -30,50 +31,50 @@
 
 ZONES = {"n1": "a", "n2": "b", "n3": "b"}
 TERMS = RolloutTerms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
-names = st.sampled_from(sorted(ZONES))
-ends = st.sampled_from([CallOutcome.STOOD, CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.FAILED])
+softswitch_names = st.sampled_from(sorted(ZONES))
+some_outcomes = st.sampled_from([CallOutcome.STOOD, CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.FAILED])
 
 
 class Softswitch:
-    """One process, in one life."""
-
-    def __init__(self, name: str, life: int, now: float) -> None:
-        self.name, self.life, self.began = name, life, now
-        self.read = Snapshot(1, 0, ())
-        self.obeyed: Head | None = None
-        self.tally = Tally(("a",), 0, now, 1_000.0)
-        self.told = self.counted = 0
-        self.heard: dict[str, float] = {}
-
-    def obey(self, now: float) -> None:
-        head = read_head_state(self.read).head
-        if head == self.obeyed or not may_apply(head, self.obeyed):
+    """One incarnation of a softswitch's process."""
+
+    def __init__(self, name: str, incarnation: int, now_ms: float) -> None:
+        self.name, self.incarnation, self.stage_start_ms = name, incarnation, now_ms
+        self.snapshot = Snapshot(1, 0, ())
+        self.applied: Head | None = None
+        self.tally = Tally(("a",), 0, now_ms, 1_000.0)
+        self.sequence = self.counted = 0
+        self.last_published_ms: dict[str, float] = {}
+
+    def apply_head(self, now_ms: float) -> None:
+        head = read_head_state(self.snapshot).head
+        if head == self.applied or not may_apply(head, self.applied):
             return
-        self.obeyed = head
+        self.applied = head
         rollout = head.rollout
         mark = stage_id(rollout.id, rollout.stage) if rollout and rollout.is_active else 0
         if mark != self.tally.stage_id:
-            self.tally, self.began, self.told = Tally(("a",), mark, now, 1_000.0), now, 0
-            self.heard = {}
+            self.tally, self.stage_start_ms, self.sequence = Tally(("a",), mark, now_ms, 1_000.0), now_ms, 0
+            self.last_published_ms = {}
 
 
-class Machine(RuleBasedStateMachine):
-    """Time goes on with each step."""
+class RolloutMachine(RuleBasedStateMachine):
+    """The fleet and its store; time advances with the reads."""
 
-    blind = False  # a fault that is put in: the store compares nothing
+    compares_nothing = False  # injected defect: the store ignores the compares of a transaction
 
     @initialize()
     def begin(self) -> None:
-        self.now, self.life, self.edits = 0.0, 1, 0
+        self.now_ms, self.incarnation, self.edits = 0.0, 1, 0
         self.store = Snapshot(1, 1, ())
         self.fleet = {name: Softswitch(name, 1, 0.0) for name in ZONES}
-        self.calls: dict[int, int] = {}  # made in each stage, by its mark
-        self.highest, self.halted = 0, set[int]()
+        self.calls: dict[int, int] = {}  # calls made, by stage id
+        self.highest_number, self.halted_rollouts = 0, set[int]()
 
-    def write(self, attempt: Transaction) -> bool:
-        if self.blind:
-            attempt = Transaction((), attempt.writes)
-        after = apply(self.store, attempt)
+    def commit(self, transaction: Transaction) -> bool:
+        if self.compares_nothing:
+            transaction = Transaction((), transaction.writes)
+        after = apply(self.store, transaction)
         if after is None:
             return False
         before, self.store = read_head_state(self.store).head, after
@@ -86,123 +87,147 @@
                 assert old.is_active or new.stage == old.stage
         return True
 
-    @rule(name=names, passes=st.floats(0, 1_500))
-    def reads(self, name: str, passes: float) -> None:
-        self.now += passes
-        one = self.fleet[name]
-        one.read = self.store
-        one.obey(self.now)
-        told, _ = evidence.read_evidence(one.read, one.tally.stage_id)
-        for other, _ in told:
-            one.heard[other] = self.now
-
-    @rule(name=names, ends=st.lists(ends, max_size=8))
-    def takes_calls(self, name: str, ends: list[CallOutcome]) -> None:
-        one = self.fleet[name]
-        version = one.obeyed.version_at(name) if one.obeyed else EMPTY_VERSION
-        for end in ends:
-            one.tally.record_end(version, one.tally.arrival_mark(self.now), 0, end, 10.0, self.now)
-        if one.tally.stage_id:
-            self.calls[one.tally.stage_id] = self.calls.get(one.tally.stage_id, 0) + len(ends)
-
-    @rule(name=names, lost=st.booleans())
-    def tells(self, name: str, lost: bool) -> None:
-        one = self.fleet[name]
-        if not one.tally.stage_id:
+    @rule(name=softswitch_names, elapsed_ms=st.floats(0, 1_500))
+    def reads_the_store(self, name: str, elapsed_ms: float) -> None:
+        self.now_ms += elapsed_ms
+        softswitch = self.fleet[name]
+        softswitch.snapshot = self.store
+        softswitch.apply_head(self.now_ms)
+        published, _ = evidence.read_evidence(softswitch.snapshot, softswitch.tally.stage_id)
+        for publisher, _ in published:
+            softswitch.last_published_ms[publisher] = self.now_ms
+
+    @rule(name=softswitch_names, outcomes=st.lists(some_outcomes, max_size=8))
+    def takes_calls(self, name: str, outcomes: list[CallOutcome]) -> None:
+        softswitch = self.fleet[name]
+        version = softswitch.applied.version_at(name) if softswitch.applied else EMPTY_VERSION
+        for outcome in outcomes:
+            softswitch.tally.record_end(
+                version, softswitch.tally.arrival_mark(self.now_ms), 0, outcome, 10.0, self.now_ms
+            )
+        if softswitch.tally.stage_id:
+            self.calls[softswitch.tally.stage_id] = self.calls.get(softswitch.tally.stage_id, 0) + len(
+                outcomes
+            )
+
+    @rule(name=softswitch_names, reply_lost=st.booleans())
+    def publishes(self, name: str, reply_lost: bool) -> None:
+        softswitch = self.fleet[name]
+        if not softswitch.tally.stage_id:
             return
-        key = evidence.evidence_key(name, one.life)
-        held = one.read.find(key)
-        value = one.tally.evidence(one.life, one.told + 1, ZONES[name], 0, self.now)
+        key = evidence.evidence_key(name, softswitch.incarnation)
+        stored = softswitch.snapshot.find(key)
+        value = softswitch.tally.evidence(
+            softswitch.incarnation, softswitch.sequence + 1, ZONES[name], 0, self.now_ms
+        )
         write = Write(key, evidence.encode(value))
-        if self.write(Transaction((Compare(key, held.mod_revision if held else 0),), (write,))) and not lost:
-            one.told += 1
-            one.read = self.store
-
-    @rule(name=names)
+        if (
+            self.commit(Transaction((Compare(key, stored.mod_revision if stored else 0),), (write,)))
+            and not reply_lost
+        ):
+            softswitch.sequence += 1
+            softswitch.snapshot = self.store
+
+    @rule(name=softswitch_names)
     def confirms(self, name: str) -> None:
-        one = self.fleet[name]
-        if one.obeyed is not None:
-            said = Confirmation(1, one.life, one.obeyed.number, one.obeyed.version_at(name))
-            attempt = confirm.confirmation_attempt(one.read, name, said)
-            if attempt is not None:
-                self.write(attempt)
-
-    @rule(name=names, stale=st.booleans())
-    def looks(self, name: str, stale: bool) -> None:
-        """A step from what it last read; stale: it slept since, and others wrote."""
-        one = self.fleet[name]
-        if not stale:
-            self.reads(name, 0.0)
-        there = read_head_state(one.read)
-        if one.obeyed is None or there.head != one.obeyed or there.head.rollout is None:
+        softswitch = self.fleet[name]
+        if softswitch.applied is not None:
+            confirmation = Confirmation(
+                1, softswitch.incarnation, softswitch.applied.number, softswitch.applied.version_at(name)
+            )
+            transaction = confirm.confirmation_transaction(softswitch.snapshot, name, confirmation)
+            if transaction is not None:
+                self.commit(transaction)
+
+    @rule(name=softswitch_names, is_stale=st.booleans())
+    def judges_the_stage(self, name: str, is_stale: bool) -> None:
+        """Attempt the next step by the last read; stale: the process was suspended and others wrote since."""
+        softswitch = self.fleet[name]
+        if not is_stale:
+            self.reads_the_store(name, 0.0)
+        state = read_head_state(softswitch.snapshot)
+        if softswitch.applied is None or state.head != softswitch.applied or state.head.rollout is None:
             return
-        told, _ = evidence.read_evidence(one.read, one.tally.stage_id)
-        seen = StageObservation(self.now, one.began, one.heard, told, confirm.confirmations(one.read), ZONES)
-        step = next_step(there, seen, Request(name, f"{name}-{self.now}", ""), one.obeyed.number)
+        published, _ = evidence.read_evidence(softswitch.snapshot, softswitch.tally.stage_id)
+        observation = StageObservation(
+            self.now_ms, softswitch.stage_start_ms, softswitch.last_published_ms, published,
+            confirm.confirmations(softswitch.snapshot), ZONES,
+        )  # fmt: skip
+        step = next_step(
+            state, observation, Request(name, f"{name}-{self.now_ms}", ""), softswitch.applied.number
+        )
         if step is not None:
-            self.check(step, there.head, seen)
-            self.write(step.attempt)
+            self.check(step, state.head, observation)
+            self.commit(step.transaction)
 
-    def check(self, step: RolloutStep, head: Head, seen: StageObservation) -> None:
+    def check(self, step: RolloutStep, head: Head, observation: StageObservation) -> None:
         assert head.rollout is not None and head.rollout.is_active
         if step.operation in (Operation.WIDENED, Operation.COMPLETED):
-            told = {name for name, _ in seen.evidence}
-            assert set(head.rollout.members) <= told, "nothing is widened on what nobody told"
-
-    @rule(name=names)
-    def is_born_again(self, name: str) -> None:
-        self.life += 1
-        self.fleet[name] = Softswitch(name, self.life, self.now)
-
-    @rule(name=names, undo=st.booleans())
-    def an_operator(self, name: str, undo: bool) -> None:
-        one = self.fleet[name]
-        there, asked = read_head_state(one.read), Request(name, f"o{self.now}", "")
+            publishers = {name for name, _ in observation.evidence}
+            assert (
+                set(head.rollout.members) <= publishers
+            ), "no stage widens before all its members have published"
+
+    @rule(name=softswitch_names)
+    def restarts(self, name: str) -> None:
+        self.incarnation += 1
+        self.fleet[name] = Softswitch(name, self.incarnation, self.now_ms)
+
+    @rule(name=softswitch_names, undo=st.booleans())
+    def operator_edits(self, name: str, undo: bool) -> None:
+        softswitch = self.fleet[name]
+        state, request = read_head_state(softswitch.snapshot), Request(name, f"o{self.now_ms}", "")
         self.edits += 1
         rules = RuleSet(rules=(Rule(f"r{self.edits}", Prefer((1,)), Match()),))
-        begun = stages.members(ZONES, there.head.number + 1, 0.0)
+        members = stages.members(ZONES, state.head.number + 1, 0.0)
         try:
             if undo:
-                attempt = heads.undo(there, asked)
+                transaction = heads.undo(state, request)
             else:
-                attempt = heads.propose(there, rules, asked, there.head.number, (0.0, 0.6), begun, TERMS)
+                transaction = heads.propose(
+                    state, rules, request, state.head.number, (0.0, 0.6), members, TERMS
+                )
         except RulesError:
             return
-        self.write(attempt)
+        self.commit(transaction)
 
     @invariant()
     def no_call_is_counted_twice(self) -> None:
-        for stage, made in self.calls.items():
-            told, unreadable = evidence.read_evidence(self.store, stage)
-            versions = [by for one in told.values() for by in one.versions.values()]
-            rows = [row for by in versions for counts in by.values() for row in counts.ends]
-            assert not unreadable and sum(sum_counts(rows)) <= made
+        for stage, calls_made in self.calls.items():
+            published, unreadable = evidence.read_evidence(self.store, stage)
+            versions = [by_class for value in published.values() for by_class in value.versions.values()]
+            rows = [row for by_class in versions for counts in by_class.values() for row in counts.ends]
+            assert not unreadable and sum(sum_counts(rows)) <= calls_made
 
     @invariant()
-    def heads_only_grow_and_the_log_has_each(self) -> None:
-        there = read_head_state(self.store)
-        assert there.head.number >= self.highest and not there.unreadable
-        self.highest = there.head.number
-        logged = [one.number for one in there.log]
-        assert logged == list(range(self.highest - len(logged) + 1, self.highest + 1))
-        rollout = there.head.rollout
+    def heads_only_grow_and_the_log_has_all(self) -> None:
+        state = read_head_state(self.store)
+        assert state.head.number >= self.highest_number and not state.unreadable
+        self.highest_number = state.head.number
+        numbers = [entry.number for entry in state.log]
+        assert numbers == list(range(self.highest_number - len(numbers) + 1, self.highest_number + 1))
+        rollout = state.head.rollout
         if rollout is not None:
-            assert not (rollout.is_active and rollout.id in self.halted), "a halted rollout went on"
+            assert not (
+                rollout.is_active and rollout.id in self.halted_rollouts
+            ), "a halted rollout continued"
             if not rollout.is_active:
-                self.halted.add(rollout.id)
+                self.halted_rollouts.add(rollout.id)
 
 
-class Blind(Machine):
-    """Every step goes through, on whatever it was computed from."""
+class StoreWithoutCompares(RolloutMachine):
+    """A store on which every transaction succeeds, even if it is based on stale data."""
 
-    blind = True
+    compares_nothing = True
 
 
-MANY = settings(max_examples=250, stateful_step_count=50, deadline=None)
-TestMachine = Machine.TestCase
-TestMachine.settings = MANY
+MANY_EXAMPLES = settings(max_examples=250, stateful_step_count=50, deadline=None)
+TestMachine = RolloutMachine.TestCase
+TestMachine.settings = MANY_EXAMPLES
 
 
-def test_the_machine_finds_a_store_that_compares_nothing() -> None:
+def test_the_state_machine_detects_a_store_that_ignores_compares() -> None:
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Blind, settings=settings(MANY, database=None, print_blob=False))
+        run_state_machine_as_test(
+            StoreWithoutCompares, settings=settings(MANY_EXAMPLES, database=None, print_blob=False)
+        )
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -1,4 +1,4 @@
-"""Each row of the table of a rollout's steps, its stages, its confirmations and the own guard."""
+"""Each row of the table of a rollout's steps; stages, confirmations and the local guard."""
 
 from __future__ import annotations
 
@@ -21,119 +21,131 @@
 TERMS = RolloutTerms(soak_ms=10_000, evidence_ms=60_000, least_calls=20, silent_ms=5_000, away_ms=8_000)
 NEW, OLD = "1" * 32, "0" * 32
 ROLLOUT = Rollout(4, NEW, (0.0, 0.5), 0, ("n1",), TERMS)
-THERE = HeadState(Head(version=OLD, number=4, rollout=ROLLOUT), mod_revision=9)
+STATE = HeadState(Head(version=OLD, number=4, rollout=ROLLOUT), mod_revision=9)
 ZONES = {"n1": "a", "n2": "a", "n3": "b", "n4": "b"}
-ME = Request("n3", "tag", "")
+REQUEST = Request("n3", "tag", "")
 
 
-Told = dict[tuple[str, int], Evidence]
+EvidenceMap = dict[tuple[str, int], Evidence]
 
 
-def told(name: str, version: str, ends: list[CallOutcome], stage: int = 0, broken: int = 0) -> Told:
+def evidence_of(
+    name: str, version: str, outcomes: list[CallOutcome], stage: int = 0, broken: int = 0
+) -> EvidenceMap:
     tally = Tally(("a",), stage_id(4, stage), 0.0, 2_000.0)
-    for at, end in enumerate(ends):
-        tally.record_end(version, tally.arrival_mark(200.0 * at), 0, end, 10.0, 200.0 * at)
+    for index, outcome in enumerate(outcomes):
+        tally.record_end(version, tally.arrival_mark(200.0 * index), 0, outcome, 10.0, 200.0 * index)
     return {(name, 1): tally.evidence(1, 1, ZONES[name], broken, 12_000.0)}
 
 
-WELL = told("n1", NEW, [CallOutcome.STOOD] * 30) | told("n2", OLD, [CallOutcome.STOOD] * 30)
-SAID = {"n1": Confirmation(1, 1, 4, NEW)}
+GOOD_EVIDENCE = evidence_of("n1", NEW, [CallOutcome.STOOD] * 30) | evidence_of(
+    "n2", OLD, [CallOutcome.STOOD] * 30
+)
+CONFIRMED = {"n1": Confirmation(1, 1, 4, NEW)}
 LEFT = {"n1": Confirmation(1, 1, 4, OLD, 4, "worse")}
-LEFT_EARLIER = {"n1": Confirmation(1, 1, 4, NEW, 3, "old")}
-SEEN = StageObservation(12_000.0, 0.0, {"n1": 11_000.0}, WELL, SAID, ZONES)
-BAD = told("n1", NEW, [CallOutcome.FAILED, CallOutcome.STOOD] * 30) | told(
+OBSERVATION = StageObservation(12_000.0, 0.0, {"n1": 11_000.0}, GOOD_EVIDENCE, CONFIRMED, ZONES)
+BAD_EVIDENCE = evidence_of("n1", NEW, [CallOutcome.FAILED, CallOutcome.STOOD] * 30) | evidence_of(
     "n2", OLD, [CallOutcome.STOOD] * 60
 )
 
 
 @pytest.mark.parametrize(
-    ("seen", "did", "why"),
+    ("observation", "operation", "reason"),
     [
-        (SEEN, Operation.WIDENED, "30 calls under the new version"),
-        (replace(SEEN, is_fresh=False), None, ""),
-        (replace(SEEN, now_ms=9_000.0), None, ""),  # soak
-        (replace(SEEN, confirmations={}), None, ""),  # not confirmed
-        (replace(SEEN, confirmations={"n1": Confirmation(1, 1, 4, OLD)}), None, ""),
-        # nothing told of the stage
-        (replace(SEEN, evidence=told("n2", OLD, [CallOutcome.STOOD] * 30)), None, ""),
-        (replace(SEEN, store_lost_ms=9_000.0), Operation.HALTED, "nobody could write to the store for 9 s"),
-        (replace(SEEN, confirmations=LEFT), Operation.HALTED, "n1 went back by itself"),
-        (replace(SEEN, confirmations=LEFT_EARLIER), Operation.WIDENED, ""),
+        (OBSERVATION, Operation.WIDENED, "30 calls under the new version"),
+        (replace(OBSERVATION, is_fresh=False), None, ""),
+        (replace(OBSERVATION, now_ms=9_000.0), None, ""),  # soak time not over
+        (replace(OBSERVATION, confirmations={}), None, ""),  # not confirmed
+        (replace(OBSERVATION, confirmations={"n1": Confirmation(1, 1, 4, OLD)}), None, ""),
+        # no evidence from the member of the stage
+        (replace(OBSERVATION, evidence=evidence_of("n2", OLD, [CallOutcome.STOOD] * 30)), None, ""),
+        (replace(OBSERVATION, store_lost_ms=9_000.0),
+         Operation.HALTED, "nobody could write to the store for 9 s"),
+        (replace(OBSERVATION, confirmations=LEFT), Operation.HALTED, "n1 went back by itself"),
+        (replace(OBSERVATION, confirmations=CONFIRMED | {"n1": Confirmation(1, 1, 4, NEW, 3, "old")}),
+         Operation.WIDENED, ""),
         (
-            replace(SEEN, evidence=WELL | told("n1", NEW, [], broken=2)),
+            replace(OBSERVATION, evidence=GOOD_EVIDENCE | evidence_of("n1", NEW, [], broken=2)),
             Operation.HALTED,
             "2 decisions failed at n1",
         ),
-        (replace(SEEN, evidence=WELL | told("n2", OLD, [CallOutcome.STOOD] * 9, broken=2)),
+        (replace(OBSERVATION,
+                 evidence=GOOD_EVIDENCE | evidence_of("n2", OLD, [CallOutcome.STOOD] * 9, broken=2)),
          Operation.WIDENED, ""),
-        (replace(SEEN, now_ms=17_000.0), Operation.HALTED, "n1 has told nothing for 6.0 s"),
-        (replace(SEEN, last_published_ms={}, now_ms=4_000.0), None, ""),
-        (replace(SEEN, last_published_ms={}, now_ms=6_000.0), Operation.HALTED, "n1 has told nothing"),
-        (replace(SEEN, evidence=BAD), Operation.HALTED, "failed of class a: 30 of 60 new, 0 of 60 old"),
-        (replace(SEEN, now_ms=61_000.0, last_published_ms={"n1": 60_500.0},
-                 evidence=told("n1", NEW, [CallOutcome.STOOD] * 5)),
+        (replace(OBSERVATION, now_ms=17_000.0), Operation.HALTED, "n1 has told nothing for 6.0 s"),
+        (replace(OBSERVATION, last_published_ms={}, now_ms=4_000.0), None, ""),
+        (replace(OBSERVATION, last_published_ms={}, now_ms=6_000.0), Operation.HALTED, "n1 has told nothing"),
+        (replace(OBSERVATION, evidence=BAD_EVIDENCE),
+         Operation.HALTED, "failed of class a: 30 of 60 new, 0 of 60 old"),
+        (replace(OBSERVATION, now_ms=61_000.0, last_published_ms={"n1": 60_500.0},
+                 evidence=evidence_of("n1", NEW, [CallOutcome.STOOD] * 5)),
          Operation.HALTED, "5 calls under the new version in 61 s, 20 required"),
     ],
 )  # fmt: skip
-def test_each_row_of_the_table(seen: StageObservation, did: Operation | None, why: str) -> None:
-    step = next_step(THERE, seen, ME, 4)
-    assert (step.operation if step else None) is did
+def test_each_row_of_the_table_of_steps(
+    observation: StageObservation, operation: Operation | None, reason: str
+) -> None:
+    step = next_step(STATE, observation, REQUEST, 4)
+    assert (step.operation if step else None) is operation
     if step is not None:
-        assert why in step.reason
-        assert step.attempt.compares[0].mod_revision == 9, "compares with the head that it was computed from"
+        assert reason in step.reason
+        assert step.transaction.compares[0].mod_revision == 9, "compares with the head it is based on"
 
 
 @pytest.mark.parametrize(
-    "there",
+    "state",
     [
         HeadState(Head(version=OLD, number=4), mod_revision=9),
         HeadState(
             Head(version=OLD, number=4, rollout=msgspec.structs.replace(ROLLOUT, halted="why")),
             mod_revision=9,
         ),
-        replace(THERE, unreadable=("rules/head",)),
+        replace(STATE, unreadable=("rules/head",)),
     ],
 )
-def test_nothing_is_done_without_a_rollout_that_goes_on(there: HeadState) -> None:
-    assert next_step(there, replace(SEEN, evidence=BAD), ME, 4) is None
+def test_without_an_active_rollout_there_is_no_step(state: HeadState) -> None:
+    assert next_step(state, replace(OBSERVATION, evidence=BAD_EVIDENCE), REQUEST, 4) is None
 
 
-def test_the_last_stage_completes() -> None:
-    last = msgspec.structs.replace(ROLLOUT, stage=1)
-    there = HeadState(msgspec.structs.replace(THERE.head, rollout=last), mod_revision=9)
-    well = told("n1", NEW, [CallOutcome.STOOD] * 30, 1) | told("n2", OLD, [CallOutcome.STOOD] * 30, 1)
-    step = next_step(there, replace(SEEN, evidence=well), ME, 4)
+def test_the_last_stage_completes_the_rollout() -> None:
+    last_stage = msgspec.structs.replace(ROLLOUT, stage=1)
+    state = HeadState(msgspec.structs.replace(STATE.head, rollout=last_stage), mod_revision=9)
+    good_evidence = evidence_of("n1", NEW, [CallOutcome.STOOD] * 30, 1) | evidence_of(
+        "n2", OLD, [CallOutcome.STOOD] * 30, 1
+    )
+    step = next_step(state, replace(OBSERVATION, evidence=good_evidence), REQUEST, 4)
     assert step is not None and step.operation is Operation.COMPLETED
-    head: Head = msgspec.json.decode(step.attempt.writes[0].value or b"", type=Head)
+    head: Head = msgspec.json.decode(step.transaction.writes[0].value or b"", type=Head)
     assert (head.version, head.before, head.rollout, head.number) == (NEW, OLD, None, 5)
 
 
-def test_the_own_cut_link_is_told_from_a_lost_store() -> None:
+def test_a_broken_link_of_this_softswitch_is_distinguished_from_a_lost_store() -> None:
     assert nobody_published({"n1": 5, "n2": 9}, {"n1": 6, "n2": 9})
     assert not nobody_published({"n1": 5, "n2": 9}, {"n1": 8, "n2": 9})
 
 
-# --- stages -------------------------------------------------------------------------------------------------
 @given(
     st.dictionaries(st.text("abcdefgh", min_size=1, max_size=4), st.sampled_from("xyz"), min_size=2),
     st.integers(0, 99), st.floats(0, 0.99), st.floats(0, 0.99),
 )  # fmt: skip
-def test_stages_contain_each_other_spread_over_zones_and_never_take_all(
+def test_stages_are_nested_spread_over_zones_and_never_contain_all(
     names: dict[str, str], rollout: int, first: float, second: float
 ) -> None:
     small, large = (stages.members(names, rollout, share) for share in sorted((first, second)))
     assert set(small) <= set(large) and len(small) >= 1 and len(large) < len(names)
     assert sorted(stages.order(names, rollout)) == sorted(names)
     zones = [names[name] for name in large]
-    most = min(len(zones), len(set(names.values())))
-    assert len(set(zones)) == most, "a zone comes again only after every other one had its turn"
-    left = dict(list(names.items())[1:])
-    assert [name for name in stages.order(names, rollout) if name in left and names[name] == "x"] == [
-        name for name in stages.order(left, rollout) if names[name] == "x"
-    ], "one that goes moves no other within a zone"
+    expected_zones = min(len(zones), len(set(names.values())))
+    assert (
+        len(set(zones)) == expected_zones
+    ), "a zone gets a second member only after every other zone has one"
+    remaining = dict(list(names.items())[1:])
+    assert [name for name in stages.order(names, rollout) if name in remaining and names[name] == "x"] == [
+        name for name in stages.order(remaining, rollout) if names[name] == "x"
+    ], "a softswitch that leaves does not reorder the others of its zone"
 
 
-def test_the_store_bears_the_same_number_of_values_whatever_the_fleet() -> None:
+def test_the_rate_of_values_at_the_store_is_bounded_for_any_fleet() -> None:
     assert stages.publish_interval_ms(1_000.0, 16) == 1_000.0
     for fleet in (200, 1_000):
         assert fleet / stages.publish_interval_ms(1_000.0, fleet) * 1_000.0 <= 50.0
@@ -142,60 +154,60 @@
         )
 
 
-# --- confirmations ------------------------------------------------------------------------------------------
-def test_what_a_former_life_said_confirms_nothing() -> None:
-    said = {
+def test_a_confirmation_by_an_earlier_incarnation_does_not_count() -> None:
+    confirmations = {
         "n1": Confirmation(1, 7, 5, OLD),
         "n2": Confirmation(1, 7, 5, OLD),
         "n3": Confirmation(1, 1, 4, OLD),
     }
-    found = confirm.confirmation_status(5, {"n1": 7, "n2": 8}, ("n3", "n4"), said)
-    assert found.pending == ("n2",) and found.absent == ("n3", "n4") and not found.is_complete
-    assert confirm.confirmation_status(5, {"n1": 7}, (), said).is_complete
-
-
-def test_what_is_said_already_is_not_written_again_and_what_is_spoilt_counts_as_nothing() -> None:
-    said = Confirmation(1, 7, 5, OLD)
-    first = confirm.confirmation_attempt(Snapshot(1, 1, ()), "n1", said)
-    assert first is not None and first.compares[0].mod_revision == 0
-    entry = Entry("rules/at/n1", first.writes[0].value or b"", 2, 2)
-    spoilt = Entry("rules/at/n2", b'{"format": 1}', 2, 2)
-    there = Snapshot(1, 2, (entry, spoilt))
-    assert confirm.confirmation_attempt(there, "n1", said) is None
-    assert confirm.confirmations(there) == {"n1": said}
-
-
-# --- the own guard ------------------------------------------------------------------------------------------
-def test_the_guard_sees_its_own_regress_and_no_other() -> None:
-    own = LocalGuard(("a", "b"))
-    for at in range(400):
-        own.record_outcome(OLD, 1, CallOutcome.STOOD if at % 50 else CallOutcome.FAILED, 100.0 * at)
-    assert own.regression(NEW, OLD, 1.25, 0.01) == "", "nothing is known of the new one"
-    for at in range(100):
-        own.record_outcome(
-            NEW, 1, CallOutcome.STOOD if at % 50 else CallOutcome.FAILED, 50_000.0 + 100.0 * at
+    status = confirm.confirmation_status(5, {"n1": 7, "n2": 8}, ("n3", "n4"), confirmations)
+    assert status.pending == ("n2",) and status.absent == ("n3", "n4") and not status.is_complete
+    assert confirm.confirmation_status(5, {"n1": 7}, (), confirmations).is_complete
+
+
+def test_a_stored_confirmation_is_not_rewritten_and_a_corrupt_one_is_left_out() -> None:
+    confirmation = Confirmation(1, 7, 5, OLD)
+    transaction = confirm.confirmation_transaction(Snapshot(1, 1, ()), "n1", confirmation)
+    assert transaction is not None and transaction.compares[0].mod_revision == 0
+    entry = Entry("rules/at/n1", transaction.writes[0].value or b"", 2, 2)
+    corrupt = Entry("rules/at/n2", b'{"format": 1}', 2, 2)
+    snapshot = Snapshot(1, 2, (entry, corrupt))
+    assert confirm.confirmation_transaction(snapshot, "n1", confirmation) is None
+    assert confirm.confirmations(snapshot) == {"n1": confirmation}
+
+
+def test_the_local_guard_finds_a_regression_of_its_own_calls() -> None:
+    guard = LocalGuard(("a", "b"))
+    for index in range(400):
+        guard.record_outcome(OLD, 1, CallOutcome.STOOD if index % 50 else CallOutcome.FAILED, 100.0 * index)
+    assert guard.regression(NEW, OLD, 1.25, 0.01) == "", "no call under the new version yet"
+    for index in range(100):
+        guard.record_outcome(
+            NEW, 1, CallOutcome.STOOD if index % 50 else CallOutcome.FAILED, 50_000.0 + 100.0 * index
         )
-    assert own.regression(NEW, OLD, 1.25, 0.01) == "", "as before"
-    for at in range(100):
-        own.record_outcome(NEW, 1, CallOutcome.STOOD if at % 3 else CallOutcome.FAILED, 70_000.0 + 100.0 * at)
-    assert "failed of class b" in own.regression(NEW, OLD, 1.25, 0.01)
-    own.forget(NEW)
-    assert own.regression(NEW, OLD, 1.25, 0.01) == ""
-
-
-def test_the_guard_forgets_and_holds_a_bounded_number_of_versions() -> None:
-    own = LocalGuard(("a",))
-    for at in range(3 * MAX_COUNTED_CALLS):
-        own.record_outcome(OLD, 0, CallOutcome.STOOD, float(at))
-    assert sum(own._counts[OLD, 0].outcomes) <= MAX_COUNTED_CALLS
+    assert guard.regression(NEW, OLD, 1.25, 0.01) == "", "the same rate as before"
+    for index in range(100):
+        guard.record_outcome(
+            NEW, 1, CallOutcome.STOOD if index % 3 else CallOutcome.FAILED, 70_000.0 + 100.0 * index
+        )
+    assert "failed of class b" in guard.regression(NEW, OLD, 1.25, 0.01)
+    guard.forget(NEW)
+    assert guard.regression(NEW, OLD, 1.25, 0.01) == ""
+
+
+def test_counts_and_versions_of_the_local_guard_are_bounded() -> None:
+    guard = LocalGuard(("a",))
+    for index in range(3 * MAX_COUNTED_CALLS):
+        guard.record_outcome(OLD, 0, CallOutcome.STOOD, float(index))
+    assert sum(guard._counts[OLD, 0].outcomes) <= MAX_COUNTED_CALLS
     for version in range(50):
-        own.record_outcome(f"{version}", 0, CallOutcome.STOOD, 0.0)
-    own.retain([OLD])
-    assert list(own._counts) == [(OLD, 0)]
+        guard.record_outcome(f"{version}", 0, CallOutcome.STOOD, 0.0)
+    guard.retain([OLD])
+    assert list(guard._counts) == [(OLD, 0)]
 
 
-def test_reasons_are_bounded() -> None:
-    long = Confirmation(1, 1, 4, OLD, 4, "x" * 10_000)
-    entry = Entry("rules/at/n1", msgspec.json.encode(long), 2, 2)
+def test_a_confirmation_with_an_overlong_reason_is_left_out() -> None:
+    too_long = Confirmation(1, 1, 4, OLD, 4, "x" * 10_000)
+    entry = Entry("rules/at/n1", msgspec.json.encode(too_long), 2, 2)
     assert confirm.confirmations(Snapshot(1, 2, (entry,))) == {}
     assert steps.stage_rate(ROLLOUT) == TERMS.rate / 2
