--- a/pearloom/rollout/evidence.py
+++ b/pearloom/rollout/evidence.py
@@ -37,9 +37,8 @@
 STAGE_IDS_PER_ROLLOUT = 64  # a stage id combines the rollout's id and the stage's index
 MAX_FORMER_INCARNATIONS = 8  # kept per softswitch and stage
 
-OutcomeCounts = tuple[
-    int, int, int, int, int
-]  # in order of COUNTED_OUTCOMES; a cut call also counts as stood or late
+# In the order of COUNTED_OUTCOMES; a call that is cut was counted as stood or late before.
+OutcomeCounts = tuple[int, int, int, int, int]
 NO_OUTCOMES: OutcomeCounts = (0, 0, 0, 0, 0)
 
 
--- a/pearloom/rollout/judge.py
+++ b/pearloom/rollout/judge.py
@@ -12,8 +12,8 @@
 
 Because versions are compared within a zone and a bucket, a surge, a lost zone or a slow server that affects
 both is no evidence. Bad outcomes in a burst (a connection that broke with ten calls) are not independent:
-the logarithm of the evidence is divided by the dispersion, the excess variance of the counts per second over
-that of independent outcomes.
+the logarithm of the evidence is divided by the dispersion, the ratio of the variance of the counts per second
+to that of independent outcomes.
 """
 
 from __future__ import annotations
