--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -46,7 +46,7 @@
     Guard("nothing is counted while no rollout goes on", "rollout/evidence.py", " or not self.stage:", ":", (COUNTS,)),
     Guard("a value stands under its own key", "rollout/evidence.py", "or entry.key != key_of(name, one.incarnation)", "", (COUNTS,)),
     Guard("what is out has to fit", "maintenance/order.py", "max(limits.floor * self._whole[slot.kind], self._load)", "limits.floor * self._whole[slot.kind]", ("tests/maintenance/test_capacity.py",)),
-    Guard("a shut gate carries nothing", "policy/controller.py", "0.0 if pool.ejected else pool.limit", "pool.limit", (TABLE,)),
+    Guard("a shut gate carries nothing", "policy/controller.py", "0.0 if pool.is_ejected else pool.limit", "pool.limit", (TABLE,)),
     Guard("bursts are no independent calls", "rollout/judge.py", "logs.append(whole / dispersion)", "logs.append(whole)", (JUDGE,)),
     Guard("zones are compared with themselves", "rollout/judge.py", 'one.zone if one.zone in zones[0] and one.zone in zones[1] else ""', '""', (JUDGE,)),
     Guard("somebody is left to compare with", "rollout/stages.py", "max(len(names) - 1, 1)", "len(names)", (STEPS,)),
--- a/pearloom/policy/__init__.py
+++ b/pearloom/policy/__init__.py
@@ -1,5 +1,3 @@
-"""Every decision of pearloom: which call set-up goes to which session server, and which is refused.
-
-Mechanism and changes: `docs/design.md`; interface: `pearloom/interface.py`."""
+"""Chooses the session server for each call set-up, or refuses the call. Design: `docs/design.md`."""
 
 from pearloom.policy.controller import Controller as Controller
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures that were seen, and bad input: one a test."""
+"""Failures of servers and fleets, and invalid input: one per test."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 Ending, State = api.Ending, api.PoolState
 
 
-def test_silent_pool_is_reopened_by_single_trial() -> None:
+def test_silent_pool_is_reopened_by_a_single_trial() -> None:
     proxy = Proxy(entry(A, 0), entry(B, 1))
     first = proxy.call(patience=9_000_000)
     proxy.call(patience=9_000_000)
     token = own_timer(first).token
     proxy.tell(api.TimerDue(token), int(lifecycle.SILENT_AFTER * AIM))
-    assert proxy.controller._state.pools[A].ejected
+    assert proxy.controller._state.pools[A].is_ejected
     proxy.ended(1, A, Ending.TIMED_OUT, call_over=True)
     proxy.ended(2, A, Ending.TIMED_OUT, call_over=True)
     proxy.now += 3_000_000
-    taken = [sends(proxy.call(first=0)) for _ in range(3)]
-    assert taken.count([A]) == 1
+    sent_to = [sends(proxy.call(first=0)) for _ in range(3)]
+    assert sent_to.count([A]) == 1
     proxy.stands(3, A)
     assert sends(proxy.call(first=0)) == [A]
 
 
-def test_cut_standing_calls_do_not_close_a_live_pool() -> None:
-    """Incident i37b2a7: cuts alone once held every pool to the cold budget for half a minute."""
+def test_cut_established_calls_do_not_close_a_live_pool() -> None:
+    """Guards against cuts alone limiting all pools to cold budgets for half a minute (incident i37b2a7)."""
     proxy = Proxy(entry(A, 0))
     for number in (1, 2):
         proxy.call()
@@ -41,8 +41,8 @@
     assert sends(proxy.stands(3, A, 40_000)) == [A]
 
 
-def test_overtaken_attempt_is_taken_back_and_sent_again() -> None:
-    """Incident i6862c8: a fifth of the attempts to a quick server were never answered."""
+def test_overtaken_attempt_is_cancelled_and_sent_again() -> None:
+    """Guards against a server that never answers a fifth of its set-ups (incident i6862c8)."""
     proxy = Proxy(entry(A, 0))
     proxy.serve(10, A, 0)
     token = own_timer(proxy.call()).token
@@ -51,10 +51,10 @@
     proxy.call()
     proxy.now += 50_000
     proxy.stands(proxy.count, A)
-    actions = proxy.tell(api.TimerDue(token), int(lifecycle.LOST_AFTER * AIM))
+    actions = proxy.tell(api.TimerDue(token), int(lifecycle.CHECK_INTERVAL * AIM))
     assert cancels(actions) == [api.CancelAttempt(f"c{lost}", 0)]
-    waiting = proxy.ended(lost, A, Ending.CANCELLED)
-    assert not sends(waiting)
+    after_cancel = proxy.ended(lost, A, Ending.CANCELLED)
+    assert not sends(after_cancel)
     assert sends(proxy.tell(api.TimerDue(token), 300_000)) == [A]
 
 
@@ -66,22 +66,22 @@
     assert sends(proxy.call(first=0)) == [B]
 
 
-def test_pool_that_errs_again_and_again_is_tried_singly() -> None:
-    """Incident i440a25: quick errors made a failing server look free."""
+def test_pool_with_consecutive_errors_gets_single_trials() -> None:
+    """Guards against a failing server that seems free because its errors come quickly (incident i440a25)."""
     proxy = Proxy()
     for number in (1, 2):
         assert sends(proxy.call(first=0)) == [A]
         assert sends(proxy.ended(number, A, Ending.ERROR)) == [B]
         proxy.stands(number, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
-    proxy.now += round(health.FULL_PAUSE_US * (1 + health.SPREAD))
+    proxy.now += round(health.FULL_PAUSE_US * (1 + health.PAUSE_JITTER))
     assert sends(proxy.call(first=0)) == [A]
     proxy.stands(4, A, 20_000)
     assert sends(proxy.call(first=0)) == [A]
 
 
-def test_jammed_pool_is_not_refilled_once_its_delay_is_forgotten() -> None:
-    """Incident i6862c8: every proxy refilled small servers as soon as the slow answer had faded."""
+def test_congested_pool_is_not_refilled_when_its_delay_has_decayed() -> None:
+    """Guards against refilling a small server as soon as its slow answer has decayed (incident i6862c8)."""
     proxy = Proxy(entry(A, 0))
     proxy.call(kind=1)
     proxy.now += 1_500_000
@@ -92,16 +92,16 @@
     assert sends(proxy.stands(2, A, 40_000)) == [A, A]
 
 
-def test_no_pool_at_all_is_a_refusal_in_time() -> None:
+def test_call_without_any_pool_is_refused_in_time() -> None:
     proxy = Proxy(entry(A, 0, State.GONE))
-    held = proxy.call(patience=3_000_000)
-    assert not sends(held)
-    assert finals(proxy.tell(api.TimerDue(own_timer(held).token), int(lifecycle.HOLD * AIM))) == [
+    actions = proxy.call(patience=3_000_000)
+    assert not sends(actions)
+    assert finals(proxy.tell(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))) == [
         api.Refuse("c1", int(lifecycle.STAY_AWAY * AIM))
     ]
 
 
-def test_drain_while_the_other_is_slow_keeps_to_the_slow_one() -> None:
+def test_calls_go_to_the_slow_pool_while_the_other_drains() -> None:
     proxy = Proxy()
     proxy.serve(5, B, 1)
     proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.DRAINING),)))
@@ -113,50 +113,50 @@
     assert sends(proxy.call(first=0, kind=1)) == [B]
 
 
-def test_proxy_restart_amid_a_cold_start_does_not_take_its_turn_again() -> None:
-    """What it sent before the restart it no longer knows, and how much it may send it has yet to see."""
+def test_restarted_softswitch_does_not_use_its_cold_budget_twice() -> None:
+    """After its restart it neither knows what it sent before nor has seen what the pools carry."""
     proxy = Proxy(entry(A, 0, started=99_000_000))
     assert not any(sends(proxy.call()) for _ in range(5))
     for _ in range(20):
         if sends(proxy.tell(api.PoolList(api.ListKind.CHANGES), 400_000) + proxy.call()):
             return
-    raise AssertionError("the cold server is starved")
+    raise AssertionError("the cold server gets no calls")
 
 
 @pytest.mark.parametrize("fleet", [5, 240])
 def test_fleet_keeps_a_cold_server_under_its_limit_in_every_window(fleet: int) -> None:
-    """At full size one set-up a window from each proxy pushed a cold server over (incident i163af5).
+    """Guards against one set-up per window from each softswitch: too many from 240 (incident i163af5).
 
-    Each proxy has carried its part of what two warm servers do; one goes, the other comes back cold, told to
-    all at the same instant. Events by hand: nothing is answered late, so no other gate helps."""
-    capacity, pools, cold_share, multiple, window = 40.0, 2, 0.3, 2.5, 2_000_000
-    gap = round(fleet / (pools * 0.9 * capacity) * 1e6)
+    Each softswitch has carried its part of what two warm servers do; one server leaves and the other restarts
+    cold, which all learn at the same instant. No answer is late, so no other gate limits the calls."""
+    capacity, pools, cold_share, fall_multiple, window_us = 40.0, 2, 0.3, 2.5, 2_000_000
+    interval_us = round(fleet / (pools * 0.9 * capacity) * 1e6)
     proxies = []
     for number in range(fleet):
         proxy = Proxy(entry(A, 0), entry(B, 1), fleet_size=fleet)
         proxy.controller = Controller(settings(fleet_size=fleet), number)
         proxy.tell(api.PoolList(api.ListKind.CACHED, (entry(A, 0), entry(B, 1))))
-        proxy.now += number * gap // fleet
-        for turn in range(16_000_000 // gap):
-            proxy.serve(1, (A, B)[turn % 2], turn % 2, gap=gap)
+        proxy.now += number * interval_us // fleet
+        for index in range(16_000_000 // interval_us):
+            proxy.serve(1, (A, B)[index % 2], index % 2, gap=interval_us)
         proxies.append(proxy)
-    told = max(proxy.now for proxy in proxies)
+    listed_at = max(proxy.now for proxy in proxies)
     sent = []
     for proxy in proxies:
-        proxy.now = told
-        back = (entry(A, 0, State.DRAINING), entry(B, 1, started=told))
-        proxy.tell(api.PoolList(api.ListKind.CHANGES, back))
-        while proxy.now < told + 4_000_000:
+        proxy.now = listed_at
+        changes = (entry(A, 0, State.DRAINING), entry(B, 1, started=listed_at))
+        proxy.tell(api.PoolList(api.ListKind.CHANGES, changes))
+        while proxy.now < listed_at + 4_000_000:
             for action in proxy.call(first=1):
                 if isinstance(action, api.SendSetUp):
                     sent.append(proxy.now)
                     proxy.tell(api.CallStands(action.call, 0, action.server, 0))
             proxy.now += 100_000
-    most = max(sum(at - window < other <= at for other in sent) for at in sent)
-    assert 0.3 * capacity * 2 * cold_share <= most <= multiple * cold_share * capacity * window / 1e6
+    most = max(sum(at - window_us < other <= at for other in sent) for at in sent)
+    assert 0.3 * capacity * 2 * cold_share <= most <= fall_multiple * cold_share * capacity * window_us / 1e6
 
 
-def test_failed_list_keeps_the_old_one_and_asks_again() -> None:
+def test_failed_list_keeps_the_old_one_and_subscribes_again() -> None:
     proxy = Proxy(must_ask=True, ask_within_us=4_000_000)
     actions = proxy.tell(api.PoolList(api.ListKind.FAILED))
     assert timers(actions) == [api.SetTimer(1_000_000, 0)]
@@ -164,8 +164,7 @@
     assert sends(proxy.call(first=0)) == [A]
 
 
-# --- bad input
-def test_contract_breaks_name_the_call() -> None:
+def test_invalid_events_name_the_call() -> None:
     proxy = Proxy()
     proxy.call()
     with pytest.raises(ValueError, match="c1"):
@@ -188,6 +187,6 @@
         ("classes", ()),
     ],
 )
-def test_senseless_settings_name_the_field(field: str, value: object) -> None:
+def test_invalid_settings_name_the_field(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: value})
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -1,4 +1,4 @@
-"""Gate, limit and ranks: hand-written events against the decision module."""
+"""Gates, limits and ranks of the decision module, tested with hand-written events."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 Ending, State = api.Ending, api.PoolState
 
 
-def test_first_choice_while_its_gate_is_open() -> None:
+def test_first_choice_gets_the_call_while_its_gate_is_open() -> None:
     proxy = Proxy()
     assert sends(proxy.call(first=1)) == [B]
     assert sends(proxy.call(first=0)) == [A]
 
 
-def test_count_shuts_the_gate_and_the_draw_takes_the_other() -> None:
+def test_outstanding_count_closes_the_gate_and_another_pool_is_chosen() -> None:
     proxy = Proxy()
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [B], []]
     proxy.serve_out()
@@ -25,14 +25,14 @@
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [A], [B]]
 
 
-def test_all_gates_shut_holds_then_refuses_once() -> None:
+def test_call_is_held_then_refused_once_while_all_gates_are_closed() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.call()
     proxy.call()
-    held = proxy.call()
-    assert not sends(held) and not finals(held)
-    timer = own_timer(held)
-    assert timer.after_us == int(lifecycle.HOLD * AIM)
+    actions = proxy.call()
+    assert not sends(actions) and not finals(actions)
+    timer = own_timer(actions)
+    assert timer.after_us == int(lifecycle.HOLD_TIME * AIM)
     assert not finals(proxy.tell(api.TimerDue(timer.token), timer.after_us - 1))
     assert finals(proxy.tell(api.TimerDue(timer.token), 1)) == [
         api.Refuse("c3", int(lifecycle.STAY_AWAY * AIM))
@@ -40,28 +40,28 @@
     assert not finals(proxy.tell(api.TimerDue(timer.token), 1))
 
 
-@pytest.mark.parametrize(("most_us", "told_us"), [(None, AIM), (250_000, 250_000), (0, 0), (9 * AIM, AIM)])
+@pytest.mark.parametrize(("most_us", "wait_us"), [(None, AIM), (250_000, 250_000), (0, 0), (9 * AIM, AIM)])
 def test_a_refused_caller_is_asked_to_stay_away_as_the_settings_allow(
-    most_us: int | None, told_us: int
+    most_us: int | None, wait_us: int
 ) -> None:
-    """Guards against a wait that the callers of this site do not heed, or are not told at all."""
+    """Guards against a time to stay away above the bound of the site, or at a site that sends none."""
     proxy = Proxy(entry(A, 0), most_stay_away_us=most_us)
     proxy.call()
     proxy.call()
     timer = own_timer(proxy.call())
-    assert finals(proxy.tell(api.TimerDue(timer.token), timer.after_us)) == [api.Refuse("c3", told_us)]
+    assert finals(proxy.tell(api.TimerDue(timer.token), timer.after_us)) == [api.Refuse("c3", wait_us)]
 
 
-def test_held_call_goes_out_when_a_gate_opens_best_first() -> None:
+def test_held_call_of_the_highest_rank_is_sent_first_when_a_gate_opens() -> None:
     proxy = Proxy(entry(A, 0))
     for kind in (0, 0, 0, 1, 1, 1):
-        proxy.call(kind=kind)  # two ordinary and two best are out, one of each is held
+        proxy.call(kind=kind)  # two calls of each class are sent, one of each is held
     proxy.now += 40_000
     actions = proxy.stands(1, A, 40_000)
     assert [action.call for action in actions if isinstance(action, api.SendSetUp)] == ["c6"]
 
 
-def test_delay_shuts_the_gate_and_creeps_back() -> None:
+def test_queuing_delay_closes_the_gate_until_it_has_decayed() -> None:
     proxy = Proxy()
     proxy.serve(10, A, 0)
     assert sends(proxy.call(0)) == [A]
@@ -80,7 +80,7 @@
     assert sends(proxy.call(0)) == [B]
 
 
-def test_a_set_up_that_others_have_passed_shuts_no_gate() -> None:
+def test_an_overtaken_set_up_closes_no_gate() -> None:
     proxy = Proxy()
     proxy.serve(100, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
@@ -92,7 +92,7 @@
     assert sends(proxy.call()) == [A]
 
 
-def test_a_broken_line_says_nothing_of_its_pool() -> None:
+def test_a_connection_fault_does_not_affect_its_pool() -> None:
     proxy = Proxy()
     proxy.serve(30, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
@@ -100,7 +100,7 @@
     assert sends(proxy.call()) == sends(proxy.call()) == [A]
 
 
-def test_a_server_that_is_gone_is_forgotten_once_another_has_its_place() -> None:
+def test_a_server_that_is_gone_is_dropped_once_its_cell_has_another() -> None:
     proxy = Proxy()
     for number in range(50):
         gone, new = f"a:{number}" if number else A, f"a:{number + 1}"
@@ -111,16 +111,16 @@
     assert len(proxy.controller._state.pools) <= 3
 
 
-def test_full_pauses_the_pool_for_200_ms() -> None:
+def test_processor_full_pauses_the_pool_for_200_ms() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.call()
     proxy.ended(1, A, Ending.FULL, processor_full=True)
     proxy.now += 199_999
     assert not sends(proxy.call())
-    assert sends(proxy.tell(api.TimerDue(1), 1 + round(health.SPREAD * 200_000))) == [A]
+    assert sends(proxy.tell(api.TimerDue(1), 1 + round(health.PAUSE_JITTER * 200_000))) == [A]
 
 
-def test_full_again_and_again_is_tried_ever_more_rarely() -> None:
+def test_pauses_grow_while_the_processor_stays_full() -> None:
     proxy = Proxy(entry(A, 0), max_attempts=1)
     gaps, last = [], proxy.now
     for _ in range(400):
@@ -129,13 +129,13 @@
             gaps.append(proxy.now - last)
             last = proxy.now
             proxy.ended(proxy.count, A, Ending.FULL, processor_full=True)
-    most = 1 + health.SPREAD
+    most = 1 + health.PAUSE_JITTER
     for gap, least in zip(gaps[1:5], (200_000, 400_000, 800_000, 1_600_000), strict=True):
         assert least <= gap <= least * most + 25_000
-    assert max(gaps) <= health.TRIAL_GAP_MOST * AIM * most + 25_000
+    assert max(gaps) <= health.MAX_TRIAL_GAP * AIM * most + 25_000
 
 
-def test_limit_grows_only_so_fast_in_a_surge() -> None:
+def test_growth_of_the_limit_is_bounded_in_a_surge() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.serve(20, A, 0)
     proxy.call()
@@ -153,7 +153,7 @@
     assert proxy.controller._state.pools[A].offered == 1
 
 
-def test_no_free_line_moves_calls_elsewhere() -> None:
+def test_calls_go_elsewhere_without_a_free_line() -> None:
     proxy = Proxy()
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
     assert sends(proxy.call(first=0)) == [B]
@@ -161,25 +161,25 @@
     assert sends(proxy.call(first=0)) == [A]
 
 
-def test_last_lines_are_kept_for_the_best_calls() -> None:
+def test_last_lines_are_reserved_for_the_highest_rank() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 3.0, "lines": 90.0}))
     assert not sends(proxy.call(kind=0))
     assert sends(proxy.call(kind=1)) == [A]
 
 
-def test_a_line_given_back_is_used_before_the_next_report() -> None:
+def test_a_released_line_is_used_before_the_next_report() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.call(kind=1)
     proxy.stands(1, A)
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
-    held = proxy.call(kind=1)
-    assert not sends(held) and not finals(held)
+    actions = proxy.call(kind=1)
+    assert not sends(actions) and not finals(actions)
     assert sends(proxy.ended(1, A, Ending.ENDED, call_over=True)) == [A]
     assert not sends(proxy.call(kind=1))
 
 
-def test_answer_no_line_is_not_taken_for_quickness() -> None:
+def test_quick_rejection_without_a_line_does_not_attract_calls() -> None:
     proxy = Proxy()
     proxy.call(first=0)
     assert sends(proxy.ended(1, A, Ending.FULL, no_line=True)) == [B]
@@ -187,13 +187,13 @@
     assert sends(proxy.call(first=0)) == [B]
 
 
-def test_untold_figures_are_skipped() -> None:
+def test_unknown_figures_are_ignored() -> None:
     proxy = Proxy()
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": -1.0, "wait_ms": -1.0}))
     assert sends(proxy.call(first=0)) == [A]
 
 
-def test_over_share_is_refused_before_within_share() -> None:
+def test_calls_above_the_tenants_share_rank_lower() -> None:
     shares = (api.Tenant(0.5), api.Tenant(0.5))
     proxy = Proxy(entry(A, 0), tenants=shares, over_share_worth=0.05)
     ranks = [proxy.controller._calls._rank(proxy.controller._state.settings.classes[0], 0) for _ in range(30)]
@@ -201,7 +201,7 @@
     assert proxy.controller._calls._rank(proxy.controller._state.settings.classes[0], 1) == 1
 
 
-def test_late_redial_goes_after_first_tries() -> None:
+def test_late_redial_ranks_behind_first_tries() -> None:
     proxy = Proxy(entry(A, 0, State.GONE), max_attempts=1)
 
     def rank(number: str, name: str) -> int:
@@ -210,7 +210,7 @@
 
     assert rank("7", "first") == 1
     token = next(iter(proxy.controller._calls._tokens))
-    assert finals(proxy.tell(api.TimerDue(token), int(lifecycle.HOLD * AIM))) == [
+    assert finals(proxy.tell(api.TimerDue(token), int(lifecycle.HOLD_TIME * AIM))) == [
         api.Refuse("first", int(lifecycle.STAY_AWAY * AIM))
     ]
     proxy.now += AIM
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -1,4 +1,4 @@
-"""The five rules at their boundaries, to the microsecond."""
+"""The five rules of every decision, at their boundaries to the microsecond."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert proxy.tell(api.CallGone("c1")) == []
 
 
-def test_no_second_attempt_while_one_is_out() -> None:
+def test_no_second_attempt_while_one_is_outstanding() -> None:
     proxy = Proxy()
     proxy.call()
     call = proxy.controller._calls._calls["c1"]
@@ -44,7 +44,7 @@
     assert finals(proxy.ended(1, B, Ending.UNREACHABLE, attempt=1)) == [api.Fail("c1")]
 
 
-def test_a_call_that_two_servers_fail_is_failed_and_neither_is_blamed() -> None:
+def test_a_call_that_two_servers_fail_is_failed_and_ejects_neither() -> None:
     proxy = Proxy()
     for number in range(1, 6):
         assert sends(proxy.call(first=0)) == [A]
@@ -53,13 +53,13 @@
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_drain_stops_at_once(state: api.PoolState) -> None:
+def test_draining_server_gets_no_further_calls(state: api.PoolState) -> None:
     proxy = Proxy()
     proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, state),)))
     assert sends(proxy.call(first=0)) == [B]
 
 
-def test_complete_list_that_drops_a_server_ends_it() -> None:
+def test_server_missing_from_a_complete_list_gets_no_calls() -> None:
     proxy = Proxy()
     proxy.tell(api.PoolList(api.ListKind.COMPLETE, (entry(B, 1),)))
     assert sends(proxy.call(first=0)) == [B]
@@ -70,15 +70,15 @@
 def test_release_time_is_awaited_to_the_microsecond() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.call()
-    waiting = proxy.ended(1, A, Ending.TIMED_OUT)
-    assert not sends(waiting)
-    timer = own_timer(waiting)
+    actions = proxy.ended(1, A, Ending.TIMED_OUT)
+    assert not sends(actions)
+    timer = own_timer(actions)
     assert timer.after_us == 300_000
     assert not sends(proxy.tell(api.TimerDue(timer.token), 299_999))
     assert sends(proxy.tell(api.TimerDue(timer.token), 1)) == [A]
 
 
-def test_too_little_patience_after_the_release_is_a_prompt_failure() -> None:
+def test_call_fails_at_once_where_too_little_patience_is_left_after_the_release() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.call(patience=1_000_000)
     assert finals(proxy.ended(1, A, Ending.TIMED_OUT, after=700_000)) == [api.Fail("c1")]
@@ -89,18 +89,18 @@
     proxy = Proxy(entry(A, 0), entry(B, 1, started=started), now=started)
     proxy.serve(30, A, 0, gap=100_000)
     rate = proxy.controller._state.warm_rate
-    taken: list[int] = []
+    sent_at: list[int] = []
     while proxy.now < started + 10_000_000:
         proxy.now += 20_000
         server = sends(proxy.call(first=1))[0]
         proxy.stands(proxy.count, server, 20_000)
         if server == B:
-            taken.append(proxy.now)
-    assert rate > 1 and len(taken) > 10
-    for at in taken:
-        inside = sum(at - 2_000_000 < other <= at for other in taken)
+            sent_at.append(proxy.now)
+    assert rate > 1 and len(sent_at) > 10
+    for at in sent_at:
+        in_window = sum(at - 2_000_000 < other <= at for other in sent_at)
         share = 0.3 + 0.7 * (at - started) / 10_000_000
-        assert inside <= max(1.0, 2.5 * share * proxy.controller._state.warm_rate * 2)
+        assert in_window <= max(1.0, 2.5 * share * proxy.controller._state.warm_rate * 2)
     pool = proxy.controller._state.pools[B]
     call = state.Call("x", proxy.controller._state.settings.classes[0], 1, proxy.now * 2, 1, 999, "", 0)
     pool.sends.clear()
@@ -112,28 +112,28 @@
     assert routes.is_allowed(proxy.controller._state, call, pool)
 
 
-def test_cold_budget_goes_with_the_size_of_the_server() -> None:
+def test_cold_budget_is_proportional_to_the_size_of_the_server() -> None:
     proxy = Proxy(entry(A, 0), entry(B, 1))
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     proxy.tell(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 50.0}))
     proxy.serve(60, A, 0, gap=100_000)
-    taken = []
+    counts = []
     for server, cell in ((A, 0), (B, 1)):
         proxy.now += 100_000
         proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(server, cell, started=proxy.now),)))
         proxy.tell(api.PoolReport(server, Ending.ENDED, 0, {"free_lines": 400.0, "lines": 500.0 / 10**cell}))
         count = 0
         for _ in range(20):
-            went = sends(proxy.call(first=cell))
-            count += went == [server]
-            for to in went:
-                proxy.stands(proxy.count, to, 20_000)
-        taken.append(count)
-    assert taken[0] >= 3 and taken[1] <= 1
+            servers = sends(proxy.call(first=cell))
+            count += servers == [server]
+            for sent_to in servers:
+                proxy.stands(proxy.count, sent_to, 20_000)
+        counts.append(count)
+    assert counts[0] >= 3 and counts[1] <= 1
 
 
-def test_size_told_late_does_not_forget_what_pools_carry() -> None:
-    """Drawn day of crash and deploy: a new server that answered before it was sized got one call a window."""
+def test_late_size_report_keeps_the_rate_that_pools_carry() -> None:
+    """Guards against one call per window for a new server that answers before it has reported its size."""
     proxy = Proxy(entry(A, 0))
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     proxy.serve(60, A, 0, gap=100_000)
@@ -145,7 +145,7 @@
         proxy.stands(proxy.count, B, 20_000)
 
 
-def test_restart_under_the_same_id_is_cold_and_a_warm_one_is_not() -> None:
+def test_server_restarted_under_the_same_id_is_cold_and_a_warm_one_is_not() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.serve(20, A, 0)
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 1]
@@ -156,7 +156,7 @@
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 0]
 
 
-def test_sends_since_an_untold_restart_count_against_its_budget() -> None:
+def test_sends_since_an_unreported_restart_count_against_its_budget() -> None:
     proxy = Proxy(entry(A, 0))
     proxy.call()
     proxy.stands(1, A)
