--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -1,6 +1,6 @@
-"""Types between the decision module and whoever hosts it: settings, events, actions.
+"""Types that the decision module and its host exchange: settings, events and actions.
 
-Times are microseconds, durations and clock readings alike. Nothing here decides anything.
+All times, durations and clock readings alike, are in microseconds. This module holds data only.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class PoolState(Enum):
-    """What the pool list says of a server."""
+    """State of a session server in the pool list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,7 +19,7 @@
 
 
 class ListKind(Enum):
-    """How a pool list is to be read."""
+    """How a pool list relates to the one before it."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -28,21 +28,21 @@
 
 
 class Ending(Enum):
-    """How one attempt, or one probe, ended."""
+    """How one attempt or one probe ended."""
 
-    ENDED = "ended"  # the call stood and was released
+    ENDED = "ended"  # the call was established and has been released
     ERROR = "error"
-    FULL = "full"  # turned away; proves that it never ran
+    FULL = "full"  # rejected by the server, so it never ran
     TIMED_OUT = "timed out"
-    UNREACHABLE = "unreachable"  # no connection; proves that it never ran
-    RESET = "reset"  # the set-up, or the standing call, was cut
+    UNREACHABLE = "unreachable"  # no connection, so it never ran
+    RESET = "reset"  # the set-up or the established call was cut
     CANCELLED = "cancelled"
-    NOT_SENT = "not sent"  # proves that it never ran
+    NOT_SENT = "not sent"  # it never ran
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """What is told of one class of calls; an empty `cells` stands for every pool."""
+    """Settings of one call class; an empty `cells` allows every pool."""
 
     aim_us: int
     deadline_us: int
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's part of the service."""
+    """Settings of one tenant: its fraction of the service."""
 
     fraction: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a proxy is told at its start."""
+    """Settings that a softswitch gets when it starts."""
 
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -79,10 +79,10 @@
     may_cancel: bool = False
     must_ask: bool = False
     marks_redials: bool = False
-    most_stay_away_us: int | None = None  # None: no bound; 0: refused callers are told nothing
+    most_stay_away_us: int | None = None  # None: no bound; 0: no time is sent to refused callers
 
     def __post_init__(self) -> None:
-        """Refuse settings that make no sense, naming the field."""
+        """Raise ValueError, naming the field, where a setting is invalid."""
         if not self.classes:
             raise ValueError("classes: at least one class of calls is needed")
         for name in ("fleet_size", "max_attempts"):
@@ -94,23 +94,23 @@
                 raise ValueError(f"{name}: must not be negative, not {value}")
         if self.cold_share > 1:
             raise ValueError(f"cold_share: a share is at most 1, not {self.cold_share}")
-        for number, kind in enumerate(self.classes):
-            if kind.aim_us <= 0 or kind.deadline_us <= 0:
+        for number, call_class in enumerate(self.classes):
+            if call_class.aim_us <= 0 or call_class.deadline_us <= 0:
                 raise ValueError(f"classes[{number}]: aim_us and deadline_us must be above 0")
-            if not kind.worth >= 0 or not kind.late_worth >= 0:
+            if not call_class.worth >= 0 or not call_class.late_worth >= 0:
                 raise ValueError(f"classes[{number}]: worth and late_worth must not be negative")
         for number, tenant in enumerate(self.tenants):
             if not tenant.fraction >= 0:
                 raise ValueError(f"tenants[{number}]: fraction must not be negative")
 
     def stay_away_us(self, wanted_us: int) -> int:
-        """How long a refused caller is asked to stay away, where `wanted_us` would be best; 0: not at all."""
+        """Return how long a refused caller is asked to stay away: `wanted_us`, bounded; 0: not asked."""
         return wanted_us if self.most_stay_away_us is None else min(wanted_us, self.most_stay_away_us)
 
 
 @dataclass(frozen=True, slots=True)
 class PoolEntry:
-    """One line of the pool list; `started_us` is 0 where the server has run for long."""
+    """One server in the pool list; `started_us` is 0 where the server started long ago."""
 
     server: str
     cell: int
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolList:
-    """The list, or changes to it, as told to this proxy."""
+    """The pool list, or changes to it, as this softswitch received it."""
 
     kind: ListKind
     entries: tuple[PoolEntry, ...] = ()
@@ -143,9 +143,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A call was handed to this proxy and is owed one final answer; `number` is what was dialled, if told.
+    """A call arrived at this softswitch and needs one final answer.
 
-    `route`: the rules that it arrived under, which hold for all its attempts."""
+    `kind` is the index of its class in the settings, `patience_us` how long the caller waits for the answer,
+    `number` the called number, if known. `route`: the routing rules at its arrival, which hold for all its
+    attempts."""
 
     call: str
     kind: int
@@ -160,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallStands:
-    """An attempt was answered: the call holds."""
+    """A server answered an attempt: the call is established."""
 
     call: str
     attempt: int
@@ -170,10 +172,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome that each attempt gets; `full_wait_us` where a full processor names one.
+    """The outcome of an attempt; each attempt has exactly one.
 
-    FULL has one of two reasons: `processor_full`, or `no_line`, that no agent or line was free.
-    `is_connection_fault`: a connection broke, which says nothing of the server.
+    FULL has one of two reasons: `processor_full`, with `full_wait_us` if the server gave a time to wait, or
+    `no_line`: no agent or line was free. `is_connection_fault`: only a connection broke, which says nothing
+    of the server. `call_over`: the call needs no further attempt.
     """
 
     call: str
@@ -191,16 +194,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallGone:
-    """The caller left; nothing is owed any more."""
+    """The caller left; the call needs no answer any more."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class PoolReport:
-    """A probe's result, or figures told unasked (`took_us` is then 0).
+    """The result of a probe, or figures that a server sent unasked (`took_us` is then 0).
 
-    `free_lines` and `lines` are the pool's; `wait_ms`, `hold_back` and others its processor's, -1 if untold.
+    `free_lines` and `lines` are the pool's; `wait_ms`, `hold_back` and others its processor's, -1 if unknown.
     """
 
     server: str
@@ -211,14 +214,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer that the controller set came due."""
+    """A timer that the controller set has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another proxy, at places that allow them."""
+    """A message from another softswitch, where the host carries such messages."""
 
     peer: int
     data: bytes
@@ -229,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSetUp:
-    """Send a set-up, to be given up after `timeout_us`."""
+    """Send a set-up; the attempt times out after `timeout_us`."""
 
     call: str
     server: str
@@ -238,7 +241,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     call: str
     attempt: int
@@ -246,7 +249,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away; `wait_us` above 0 asks the caller to stay away so long."""
+    """Final answer: refused; `wait_us` above 0 asks the caller not to call again for that time."""
 
     call: str
     wait_us: int = 0
@@ -254,14 +257,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up."""
+    """Final answer: the call has failed."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerDue`."""
+    """Ask for a `TimerDue` with this token after this time."""
 
     after_us: int
     token: int
@@ -276,14 +279,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the pool list and its changes."""
+    """Subscribe to the pool list and its changes, or end the subscription."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask once for the complete pool list."""
+    """Request the complete pool list once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -295,7 +298,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellPeer:
-    """Send a message to one peer, or to all (`peer` None)."""
+    """Send a message to one other softswitch, or to all of them (`peer` None)."""
 
     peer: int | None
     data: bytes
@@ -303,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
