--- a/pearloom/settings.py
+++ b/pearloom/settings.py
@@ -1,7 +1,7 @@
-"""The one reader of settings and reports, for the simulator's adapter and for the real softswitch.
+"""Reads the decision module's settings and the servers' reports, for both hosts of the module.
 
-The adapter is told `path=value` pairs, the real softswitch the same object as nested JSON: `flatten` turns
-the second form into the first, so that both hosts hand the module the same settings.
+The line protocol of `pearloom.wirehost` carries settings as `path=value` pairs, the softswitch reads the same
+object as nested JSON: `flatten` turns the second form into the first, so that both get the same settings.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 
 
 def flatten(settings: object, path: str = "") -> Params:
-    """Nested JSON as `path=value` pairs: lists of plain values are joined, others counted and numbered."""
+    """Turn nested JSON into `path=value` pairs.
+
+    A list of scalars becomes one value joined by commas, another list its count and numbered items."""
     params: Params = {}
     if isinstance(settings, dict):
         for name, value in settings.items():
@@ -30,13 +32,13 @@
         for number, value in enumerate(settings):
             params.update(flatten(value, f"{path}.{number}"))
     elif isinstance(settings, list):
-        params[path] = ",".join(_plain(value) for value in settings)
+        params[path] = ",".join(_format_scalar(value) for value in settings)
     else:
-        params[path] = _plain(settings)
+        params[path] = _format_scalar(settings)
     return params
 
 
-def _plain(value: object) -> str:
+def _format_scalar(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return "-" if value is None else str(value)
@@ -60,14 +62,14 @@
 
 
 def _most_stay_away_us(params: Params) -> int | None:
-    """How long a refused caller may be asked to stay away: 0 where the site tells callers nothing."""
+    """The longest time that a refused caller may be asked to stay away; 0 where callers are sent none."""
     if not _flag(params, "limits.retryAfter"):
         return 0
     return _integer(params, "limits.maxRetryAfterUs") if "limits.maxRetryAfterUs" in params else None
 
 
 def _check_classes(params: Params) -> int:
-    """How many classes there are; a ValueError names what does not fit them."""
+    """Return the number of call classes; raise ValueError where another setting does not fit them."""
     count = _integer(params, "services.count")
     pools = _integer(params, "specifics.skilledPools.count")
     if pools > count:
@@ -82,17 +84,17 @@
 
 
 def read_settings(params: Params) -> api.Settings:
-    """Turn the settings of a `boot` line into the module's own, skipping what is not known."""
+    """Build `Settings` from `path=value` pairs; unknown paths are ignored, invalid values a ValueError."""
     classes = []
     for number in range(_check_classes(params)):
-        at = f"services.{number}."
+        prefix = f"services.{number}."
         classes.append(
             api.CallClass(
-                aim_us=_integer(params, at + "aimUs"),
-                deadline_us=_integer(params, at + "deadlineUs"),
-                worth=_number(params, at + "importance", 1.0),
-                late_worth=_number(params, at + "lateWorth"),
-                repeatable=params.get(at + "effect", "free") == "free",
+                aim_us=_integer(params, prefix + "aimUs"),
+                deadline_us=_integer(params, prefix + "deadlineUs"),
+                worth=_number(params, prefix + "importance", 1.0),
+                late_worth=_number(params, prefix + "lateWorth"),
+                repeatable=params.get(prefix + "effect", "free") == "free",
                 cells=_cells(params.get(f"specifics.skilledPools.{number}", "")),
             )
         )
@@ -122,7 +124,7 @@
 
 
 def read_report(text: str) -> dict[str, float]:
-    """A server's figures, `name:value` pairs set apart by commas or semicolons, under the module's names."""
+    """Read a server's figures, `name:value` separated by commas or semicolons, by the interface's names."""
     report: dict[str, float] = {}
     for pair in text.replace(";", ",").split(",") if text not in ("-", "") else ():
         name, colon, value = pair.strip().partition(":")
