--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""Golden batches through the real adapter process, and the README's example."""
+"""Golden batches through the wirehost process, and the example in the README."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
     return [f"page\t{number}\t{len(rows)}", *lines]
 
 
-def batch(now: int, *lines: str) -> str:
-    return "\n".join([f"turn\t{now}", *lines, "over_to_you"]) + "\n"
+def batch(now_us: int, *lines: str) -> str:
+    return "\n".join([f"turn\t{now_us}", *lines, "over_to_you"]) + "\n"
 
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
@@ -69,7 +69,7 @@
 START = [BOOT, *page(0, (A, 0, 1), (B, 1, 1)), "announce\t1\t1\t0"]
 
 
-def job(call: str, cell: int, patience: int = 3_000_000) -> str:
+def job_in(call: str, cell: int, patience: int = 3_000_000) -> str:
     return f"job_in\t{call}\t0\t-\ttel-x\t{patience}\t-\t{cell}\t1\t-1\t0"
 
 
@@ -77,7 +77,7 @@
     text = (
         batch(1000)
         + batch(1000, "for\t3", *START)
-        + batch(2000, "for\t3", job(C1, 0), job(C2, 1))
+        + batch(2000, "for\t3", job_in(C1, 0), job_in(C2, 1))
         + batch(
             50_000, "for\t3", f"accepted\t{C1}\t0\t{A}\t48000", f"settled\t{C2}\t0\t{B}\tINTERNAL\t48000\t0"
         )
@@ -89,9 +89,9 @@
             f"health\t{A}\tOK\t0\tidle:4,circuits:9,strange:2,reduce:-1",
         )
     )
-    done = run(text)
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.split("\n") == [
+    result = run(text)
+    assert result.returncode == 0, result.stderr
+    assert result.stdout.split("\n") == [
         "end",
         "end",
         "from\t3",
@@ -109,7 +109,7 @@
     ]
 
 
-def test_a_list_number_is_reused_within_one_batch() -> None:
+def test_a_page_number_may_be_reused_within_one_batch() -> None:
     events = [
         "for\t0",
         *START,
@@ -118,68 +118,74 @@
         *page(0, (B, 1, 0)),
         "announce\t4\t3\t0",
         "announce\t0\t3\t0",
-        job(C1, 0),
+        job_in(C1, 0),
     ]
-    done = run(batch(5, *events))
-    assert "relay" not in done.stdout and done.stdout.endswith("end\n")
+    result = run(batch(5, *events))
+    assert "relay" not in result.stdout and result.stdout.endswith("end\n")
 
 
-def test_kill_and_restart_in_one_batch_forgets_all() -> None:
-    events = [job(C1, 0), "crash_now", *START, job(C1, 0)]
-    done = run(batch(5, "for\t0", *START, *events))
-    assert done.stdout.count("relay") == 2, done.stdout + done.stderr
-    assert "fault" not in done.stdout
+def test_a_crash_and_restart_in_one_batch_drops_all_calls() -> None:
+    events = [job_in(C1, 0), "crash_now", *START, job_in(C1, 0)]
+    result = run(batch(5, "for\t0", *START, *events))
+    assert result.stdout.count("relay") == 2, result.stdout + result.stderr
+    assert "fault" not in result.stdout
 
 
 def test_instances_do_not_affect_one_another_nor_does_hash_order() -> None:
-    own = [batch(5, "for\t1", *START)] + [batch(10 + n, "for\t1", job(f"{n:016x}", n % 2)) for n in range(12)]
-    mixed = [batch(5, "for\t0", *START, "for\t1", *START)] + [
-        batch(10 + n, "for\t0", job(f"{n + 99:016x}", 0), "for\t1", job(f"{n:016x}", n % 2))
+    alone_batches = [batch(5, "for\t1", *START)] + [
+        batch(10 + n, "for\t1", job_in(f"{n:016x}", n % 2)) for n in range(12)
+    ]
+    mixed_batches = [batch(5, "for\t0", *START, "for\t1", *START)] + [
+        batch(10 + n, "for\t0", job_in(f"{n + 99:016x}", 0), "for\t1", job_in(f"{n:016x}", n % 2))
         for n in range(12)
     ]
 
-    def of_one(text: str) -> list[str]:
+    def replies_of_instance_1(text: str) -> list[str]:
         return re.findall(r"from\t1\n((?:(?!from|end\n).*\n)*)", text)
 
-    alone = run("".join(own)).stdout
-    assert of_one(alone) == of_one(run("".join(mixed)).stdout) != []
-    assert alone == run("".join(own), hash_seed="77").stdout
+    alone = run("".join(alone_batches)).stdout
+    assert replies_of_instance_1(alone) == replies_of_instance_1(run("".join(mixed_batches)).stdout) != []
+    assert alone == run("".join(alone_batches), hash_seed="77").stdout
 
 
-@pytest.mark.parametrize("bad", ["nonsense\t1", "alarm\tx", "settled\t1", "page\t0\t2", "accepted\t1\t0\ta"])
-def test_a_malformed_batch_stops_with_one_plain_line(bad: str) -> None:
-    done = run(batch(5, "for\t0", *START, bad))
-    assert done.returncode != 0 and done.stdout == ""
+@pytest.mark.parametrize(
+    "malformed", ["nonsense\t1", "alarm\tx", "settled\t1", "page\t0\t2", "accepted\t1\t0\ta"]
+)
+def test_a_malformed_line_ends_the_process_with_one_line_on_stderr(malformed: str) -> None:
+    result = run(batch(5, "for\t0", *START, malformed))
+    assert result.returncode != 0 and result.stdout == ""
     assert (
-        done.stderr.count("\n") == 1 and bad.split("\t")[0] in done.stderr and "Traceback" not in done.stderr
+        result.stderr.count("\n") == 1
+        and malformed.split("\t")[0] in result.stderr
+        and "Traceback" not in result.stderr
     )
 
 
-def test_a_cut_input_is_malformed() -> None:
+def test_a_truncated_input_is_an_error() -> None:
     assert run("turn\t5\nfor\t0\n").returncode != 0
 
 
 def test_an_error_in_a_decision_becomes_a_fault() -> None:
-    done = run(batch(5, "for\t0", *START, job(C1, 0), job(C1, 0)))
-    assert f"fault\tValueError: call {C1}" in done.stdout
+    result = run(batch(5, "for\t0", *START, job_in(C1, 0), job_in(C1, 0)))
+    assert f"fault\tValueError: call {C1}" in result.stdout
 
 
-def test_senseless_settings_are_named() -> None:
-    done = run(batch(5, "for\t0", BOOT.replace("fleetSize=4", "fleetSize=0")))
-    assert done.returncode != 0 and "fleet_size" in done.stderr
+def test_invalid_settings_are_named() -> None:
+    result = run(batch(5, "for\t0", BOOT.replace("fleetSize=4", "fleetSize=0")))
+    assert result.returncode != 0 and "fleet_size" in result.stderr
 
 
 def test_readme_example_runs() -> None:
     blocks = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert blocks
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", blocks[0]], capture_output=True, text=True, cwd=ROOT, check=False
     )
-    assert done.returncode == 0, done.stderr
-    assert "SendSetUp" in done.stdout and "SetTimer" in done.stdout
+    assert result.returncode == 0, result.stderr
+    assert "SendSetUp" in result.stdout and "SetTimer" in result.stdout
 
 
-def test_size_of_the_module() -> None:
+def test_size_and_file_list_of_the_decision_module() -> None:
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert {ROOT / path for path in listed} == set((ROOT / "pearloom" / "policy").glob("*.py"))
     lines = [line for path in listed for line in (ROOT / path).read_text().splitlines()]
