--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -1,4 +1,4 @@
-"""Hosts the decision module for the exchange: its steps of time, and one event at a time."""
+"""Hosts the decision module for the exchange: rounds the time to steps and hands over one event at a time."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from pearloom.policy import Controller
 
 
-def call_arrived_event(offer: Offer, way: CallRoute | None) -> api.CallArrived:
-    """A new set-up as the decision module hears of it; `way`: what the fleet's routing rules said of it."""
+def call_arrived_event(offer: Offer, call_route: CallRoute | None) -> api.CallArrived:
+    """Build the event of a new set-up; `call_route` is the result of the fleet's routing rules, if any."""
     return api.CallArrived(
         call=offer.call,
         kind=offer.kind,
@@ -23,12 +23,12 @@
         first_choice=offer.first_choice,
         was_cut=offer.was_cut,
         number=offer.number,
-        route=way.route if way is not None else None,
+        route=call_route.route if call_route is not None else None,
     )
 
 
 class Decider:
-    """One controller; `act` gets each of its actions in turn."""
+    """Owns one controller and passes each of its actions to `on_action`."""
 
     def __init__(
         self,
@@ -36,50 +36,50 @@
         settings: api.Settings,
         seed: int,
         round_ms: float,
-        act: Callable[[api.Action], None],
+        on_action: Callable[[api.Action], None],
     ) -> None:
-        """Nothing has happened."""
-        self._clock, self._act = clock, act
-        # The module sees time in steps, as on the simulator's wire: it takes what happened in one step as
-        # one batch, and tells by that a dead processor from a single call that was cut.
+        """Start a controller; `seed` is that of its random choices, `round_ms` the time step."""
+        self._clock, self._on_action = clock, on_action
+        # The module gets the time in steps, as on the simulator's wire: it treats events of the same step as
+        # one batch, which is how it distinguishes a dead processor from a single call that was cut.
         self._round_us = round(round_ms * 1000)
         self._controller = Controller(settings, seed)
         self._now_us = 0
         self._events: deque[api.Event] = deque()
-        self._telling = False
-        self.failed_decisions = 0  # events that the module choked on
+        self._is_handling = False
+        self.failed_decisions = 0  # events that raised an exception in the controller
 
     @property
     def ejected_count(self) -> int:
-        """How many listed pools get single trials alone."""
+        """Number of listed pools that are ejected and get single trials only."""
         return self._controller.ejected_count
 
     @property
     def limits(self) -> dict[str, float]:
-        """Set-ups that the gate of each listed pool allows out."""
+        """Unanswered set-ups that the gate of each listed pool allows, by server."""
         return self._controller.limits
 
     def due_ms(self, after_us: int) -> float:
-        """When a timer that the module asks for is due.
+        """Return the clock reading, in ms, at which a timer that the controller asks for is due.
 
-        Guards against a timer that comes early for the module, which sees time in steps."""
+        Rounded up to a time step: earlier, the controller's own time would not have reached the timer yet."""
         due_us = self._now_us + after_us
         return (due_us + -due_us % self._round_us) / 1000.0
 
     def handle_event(self, event: api.Event) -> None:
-        """Hand the controller an event; what its actions bring about follows in turn, never inside."""
+        """Hand an event to the controller; events that its actions cause are queued and handled next."""
         self._events.append(event)
-        if self._telling:
+        if self._is_handling:
             return
-        self._telling = True
+        self._is_handling = True
         try:
             while self._events:
                 self._decide(self._events.popleft())
         finally:
-            self._telling = False
+            self._is_handling = False
 
     def _step_us(self) -> int:
-        now_us = round(self._clock.now_ms() * 1000)  # cut off, a timer would come a step early
+        now_us = round(self._clock.now_ms() * 1000)  # rounded down, a timer would come one step early
         self._now_us = max(self._now_us, now_us - now_us % self._round_us)
         return self._now_us
 
@@ -87,9 +87,9 @@
         try:
             actions = self._controller.handle(self._step_us(), event)
         except Exception:
-            # Guards against one call that the module chokes on: it is answered, and the others go on.
+            # Guards against one call whose decision fails: that call is failed, and the others go on.
             self.failed_decisions += 1
             crashed("decision_failed", what=type(event).__name__)
             actions = [api.Fail(event.call)] if isinstance(event, api.CallArrived) else []
         for action in actions:
-            self._act(action)
+            self._on_action(action)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Guards against a softswitch that decides as if no call had a tenant: shares then hold for nobody."""
+"""Guards against calls that reach the decision module without their tenant: shares then have no effect."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from tests.player import Player
 
 
-@pytest.mark.parametrize(("told", "tenant"), [(b"nour-clinics", 0), (b"sahel", 1), (None, -1), (b"", -1)])
-def test_the_decision_module_hears_whose_call_it_is(
-    told: bytes | None, tenant: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("name", "tenant"), [(b"nour-clinics", 0), (b"sahel", 1), (None, -1), (b"", -1)])
+def test_the_decision_module_gets_the_tenant_of_a_call(
+    name: bytes | None, tenant: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     player = Player(tmp_path)
     exchange = player.softswitch.exchange
-    heard: list[api.Event] = []
+    events: list[api.Event] = []
 
     def handle(now_us: int, event: api.Event) -> list[api.Action]:
-        heard.append(event)
+        events.append(event)
         return []
 
     monkeypatch.setattr(exchange.decider._controller, "handle", handle)
     parameters = {int(Code.CLASS): b"open-form", int(Code.PATIENCE_MS): b"3000", int(Code.NUMBER): b"1"}
-    if told is not None:
-        parameters[Code.TENANT] = told
+    if name is not None:
+        parameters[Code.TENANT] = name
     try:
         offer = player.softswitch.callers.read_offer(Message(Type.SET_UP, "00" * 7 + "b0", parameters))
         assert offer is not None
         exchange.offered(offer, NullCaller())
     finally:
         player.close()
-    assert isinstance(heard[-1], api.CallArrived) and heard[-1].tenant == tenant
+    assert isinstance(events[-1], api.CallArrived) and events[-1].tenant == tenant
