--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -1,4 +1,4 @@
-"""The real program on settings that no customer has: names, times and limits come from where they stand."""
+"""The program with generated settings: names, times and limits are those of the settings, not of one site."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.test_program import TOLD, await_line, ended, start
 
 __all__ = ["ended"]
-FLAWS_MS = 200.0  # of a busy machine, on a time measured from outside
+CLOCK_TOLERANCE_MS = 200.0  # for a busy machine: the time is measured outside the program
 NAME = st.from_regex(r"[a-z][a-z0-9]{0,5}(-[a-z0-9]{1,5}){0,2}", fullmatch=True)
 
 
 @dataclass(frozen=True)
 class Site:
-    """One customer."""
+    """The settings of one site and the behaviour of its servers."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -35,19 +35,19 @@
     aim_ms: int
     patience_ms: int
     guard_ms: int
-    most_attempts: int
-    tells: bool
+    max_attempts: int
+    sends_stay_away: bool
     most_stay_away_ms: int
-    status: int  # how servers end every attempt
+    status: int  # with which the servers answer every INVITE
 
     def settings(self) -> dict[str, object]:
         return {
             "fleetSize": 3,
             "guarantees": {"answerSlackUs": 20_000, "coldShare": 0.5, "fallMultiple": 2.0, "fallUs": 10**6},
             "limits": {
-                "maxAttempts": self.most_attempts,
+                "maxAttempts": self.max_attempts,
                 "mayCancel": True,
-                "retryAfter": self.tells,
+                "retryAfter": self.sends_stay_away,
                 "maxRetryAfterUs": self.most_stay_away_ms * 1000,
                 "dialTimeoutUs": 500_000,
             },
@@ -57,7 +57,10 @@
                 for name in self.classes
             ],
             "tenants": [{"name": name, "fraction": 1 / len(self.tenants)} for name in self.tenants],
-            "specifics": {"guardUs": self.guard_ms * 1000, "skilledPools": [list(one) for one in self.cells]},
+            "specifics": {
+                "guardUs": self.guard_ms * 1000,
+                "skilledPools": [list(cells) for cells in self.cells],
+            },
         }
 
 
@@ -74,16 +77,16 @@
         aim_ms=draw(st.sampled_from([300, 700, 1500])),
         patience_ms=draw(st.sampled_from([500, 800])),
         guard_ms=draw(st.sampled_from([0, 50, 120])),
-        most_attempts=draw(st.integers(1, 3)),
-        tells=draw(st.booleans()),
+        max_attempts=draw(st.integers(1, 3)),
+        sends_stay_away=draw(st.booleans()),
         most_stay_away_ms=draw(st.sampled_from([40, 700, 60_000])),
         status=draw(st.sampled_from([200, 503, 504])),
     )
 
 
-def set_up(site: Site, kind: str) -> bytes:
+def encode_set_up(site: Site, class_name: str) -> bytes:
     parameters = {
-        int(Code.CLASS): kind.encode(),
+        int(Code.CLASS): class_name.encode(),
         int(Code.PATIENCE_MS): str(site.patience_ms).encode(),
         int(Code.NUMBER): b"7f3a9c21e0b4d655",
         int(Code.FIGURES): b"dest:0;width:1;via:-1",
@@ -96,57 +99,57 @@
 
 @dataclass
 class Attempt:
-    """One INVITE that a server got."""
+    """One INVITE that a server received."""
 
     at_s: float
     cell: int
     text: str
 
 
-def play(site: Site, kind: str) -> tuple[list[Attempt], Message, float]:
-    """Bring one set-up; returns its attempts, its final answer, and how long that took in ms."""
+def play(site: Site, class_name: str) -> tuple[list[Attempt], Message, float]:
+    """Send one set-up; return its attempts, its final answer and the time to that answer in ms."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         servers = [
             stack.enter_context(closing(socket.create_server(("127.0.0.1", 0)))) for _ in range(site.pools)
         ]
         hosts = [
-            {"host": f"s-{cell:08x}", "dial": "127.0.0.1:%d" % one.getsockname()[1], "block": cell,
+            {"host": f"s-{cell:08x}", "dial": "127.0.0.1:%d" % server.getsockname()[1], "block": cell,
              "health": "in_service"}
-            for cell, one in enumerate(servers)
+            for cell, server in enumerate(servers)
         ]  # fmt: skip
         address = ("127.0.0.1", free_port())
         known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-        told = {**TOLD, "listen": "%s:%d" % address, "known": known, "settings": site.settings()}
-        process = start(folder, told)
+        config = {**TOLD, "listen": "%s:%d" % address, "known": known, "settings": site.settings()}
+        process = start(folder, config)
         stack.callback(process.wait)
         stack.callback(process.kill)
         await_line(process, "started")
         caller = stack.enter_context(socket.create_connection(address, timeout=5))
-        return serve(site, servers, caller, set_up(site, kind))
+        return serve(site, servers, caller, encode_set_up(site, class_name))
 
 
 def serve(
-    site: Site, servers: list[socket.socket], caller: socket.socket, wanted: bytes
+    site: Site, servers: list[socket.socket], caller: socket.socket, set_up: bytes
 ) -> tuple[list[Attempt], Message, float]:
-    """Answer every INVITE as the site's servers do, until the caller has its final answer."""
+    """Answer every INVITE with the site's status until the caller has received its final answer."""
     decoder, attempts = isup.Decoder(), list[Attempt]()
-    for one in servers:
-        one.setblocking(False)
-    links: list[tuple[int, socket.socket]] = []
-    caller.sendall(wanted)
+    for server in servers:
+        server.setblocking(False)
+    connections: list[tuple[int, socket.socket]] = []
+    caller.sendall(set_up)
     caller.setblocking(False)
-    begun = time.monotonic()
-    while time.monotonic() < begun + 5:
-        for cell, one in enumerate(servers):
+    started_s = time.monotonic()
+    while time.monotonic() < started_s + 5:
+        for cell, server in enumerate(servers):
             try:
-                links.append((cell, one.accept()[0]))
-                links[-1][1].setblocking(False)
+                connections.append((cell, server.accept()[0]))
+                connections[-1][1].setblocking(False)
             except BlockingIOError:
                 pass
-        for cell, link in links:
+        for cell, connection in connections:
             try:
-                text = link.recv(65536).decode()
+                text = connection.recv(65536).decode()
             except BlockingIOError:
                 continue
             if text.startswith("INVITE"):
@@ -154,13 +157,13 @@
                 sequence = re.findall(r"CSeq: (\d+) INVITE", text)[0]
                 body = "sdp-s" if site.status == 200 else ""
                 head = f"SIP/2.0 {site.status} x\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: {sequence} INVITE\r\n"
-                link.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode())
+                connection.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode())
         try:
             for message in decoder.feed(caller.recv(1000)):
                 assert isinstance(message, Message)
-                for _, link in links:
-                    link.close()
-                return attempts, message, (time.monotonic() - begun) * 1000
+                for _, connection in connections:
+                    connection.close()
+                return attempts, message, (time.monotonic() - started_s) * 1000
         except BlockingIOError:
             time.sleep(0.001)
     raise AssertionError("no final answer")
@@ -171,15 +174,15 @@
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.function_scoped_fixture],
 )  # fmt: skip
 @given(sites(), st.data())
-def test_what_the_settings_say_is_what_happens(site: Site, data: st.DataObject) -> None:
-    """Guards against a name, a pause, a bound or a limit of one customer that acts for another."""
-    kind = data.draw(st.sampled_from(site.classes))
-    attempts, answer, took_ms = play(site, kind)
-    assert took_ms <= site.patience_ms + FLAWS_MS
-    assert 1 <= len(attempts) <= site.most_attempts
-    assert {one.cell for one in attempts} <= set(site.cells[site.classes.index(kind)])
+def test_the_program_follows_its_settings(site: Site, data: st.DataObject) -> None:
+    """Guards against a name, pause, bound or limit that does not come from the settings."""
+    class_name = data.draw(st.sampled_from(site.classes))
+    attempts, answer, took_ms = play(site, class_name)
+    assert took_ms <= site.patience_ms + CLOCK_TOLERANCE_MS
+    assert 1 <= len(attempts) <= site.max_attempts
+    assert {invite.cell for invite in attempts} <= set(site.cells[site.classes.index(class_name)])
     for attempt in attempts:
-        assert f"X-Call-Class: {kind}\r\n" in attempt.text
+        assert f"X-Call-Class: {class_name}\r\n" in attempt.text
         assert int(re.findall(r"X-Ring-Limit: (\d+)", attempt.text)[0]) <= site.patience_ms
     for first, second in pairwise(attempts):
         assert site.status != 504 or (second.at_s - first.at_s) * 1000 >= site.guard_ms
@@ -187,16 +190,16 @@
         assert (answer.type, answer.parameters[Code.DESCRIPTION]) == (Type.ANSWER, b"sdp-s")
         return
     assert answer.type == Type.RELEASE
-    told = answer.parameters.get(Code.STAY_AWAY_MS)
-    if answer.cause == Cause.CONGESTION and site.tells:
-        assert told is not None and 0 < int(told) <= site.most_stay_away_ms
+    stay_away_ms = answer.parameters.get(Code.STAY_AWAY_MS)
+    if answer.cause == Cause.CONGESTION and site.sends_stay_away:
+        assert stay_away_ms is not None and 0 < int(stay_away_ms) <= site.most_stay_away_ms
     else:
-        assert told is None
+        assert stay_away_ms is None
 
 
 @settings(max_examples=4, deadline=None, derandomize=True, database=None)
 @given(sites())
-def test_a_class_that_the_settings_do_not_name_is_failed_and_not_sent(site: Site) -> None:
+def test_a_call_of_an_unknown_class_is_failed_and_not_sent(site: Site) -> None:
     attempts, answer, _ = play(site, "none-of-them")
     assert not attempts
     assert (answer.type, answer.cause) == (Type.RELEASE, Cause.INVALID_SET_UP)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Guards against a split of the decision module, or a host without rules, that changes what is decided."""
+"""Guards against a change of the decision module, or a host without routing rules, that changes decisions."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_module_acts_as_it_did_before_there_were_rules(seed: int) -> None:
-    assert Stream(seed).play() == DIGESTS[str(seed)]
+def test_actions_equal_the_recorded_ones(seed: int) -> None:
+    assert Stream(seed).run() == DIGESTS[str(seed)]
