--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -65,20 +65,20 @@
 
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
+    over_share_worth: float = 1.0  # factor of the worth of calls above their tenant's fraction
     fleet_size: int = 1
-    answer_slack_us: int = 0
-    cold_share: float = 1.0
-    warm_after_us: int = 0
-    fall_multiple: float = 1.0
+    answer_slack_us: int = 0  # how long after the caller's patience the final answer may still come
+    cold_share: float = 1.0  # of its warm rate that a server can take when it starts
+    warm_after_us: int = 0  # time from a server's start until it is warm
+    fall_multiple: float = 1.0  # times what a cold server can take: the limit over any `fall_us`
     fall_us: int = 0
-    release_us: int = 0
+    release_us: int = 0  # pause of a call after an attempt that timed out, was cut or was cancelled
     resend_us: int = 0
     max_attempts: int = 1
     ask_within_us: int = 0
     may_cancel: bool = False
-    must_ask: bool = False
-    marks_redials: bool = False
+    must_ask: bool = False  # the pool list is sent only after a subscription
+    marks_redials: bool = False  # callers mark their redials
     most_stay_away_us: int | None = None  # None: no bound; 0: no time is sent to refused callers
 
     def __post_init__(self) -> None:
--- a/pearloom/policy/gate.py
+++ b/pearloom/policy/gate.py
@@ -9,8 +9,8 @@
 RESERVED_LINES = 0.02  # of the pool's size: lines reserved for rank 2; in a small fleet one per softswitch
 SCARCE_LINES = 1.0  # free lines per softswitch: below this each uses only its own part of them
 DELAY_HALF_LIFE = 0.6  # of the aim: without new answers the queuing delay is assumed to halve in this time
-DELAY_HALF_LIFE_INTERVALS = 2.0  # of the time between local calls for the pool: the same, if longer
-RATE_LIMIT = 1.15  # of the pool's part, by size, of local calls: above it, other pools go before it
+DELAY_HALF_LIFE_INTERVALS = 2.0  # times the interval of local calls for the pool: the same, if longer
+RATE_LIMIT = 1.15  # times the pool's part, by size, of local calls: above it, other pools go before it
 RATE_LIMIT_MIN_INTERVAL = 0.25  # of the aim: the rate limit applies from this time between local calls on
 OVERLOADED_SHARE = 0.05  # of answers that were slow or 'processor full': the rate limit applies from here on
 
--- a/pearloom/policy/health.py
+++ b/pearloom/policy/health.py
@@ -10,10 +10,10 @@
 QUEUING_BOUND = (0.3, 0.6)  # of the resend gap, by rank 0, 1: more closes the gate; below, nothing is resent
 BASE_GAIN = 0.1  # weight of an answer in the base delay, once ten have been seen
 DELAY_GAIN = 0.5  # weight of an answer in the queuing delay: answers are few, so each counts for much
-MIN_TRIAL_INTERVALS = 4.0  # of the time between local calls for the pool: shortest pause between trials
-MAX_TRIAL_INTERVALS = 10.0  # of the same time: longest pause
+MIN_TRIAL_INTERVALS = 4.0  # times the interval of local calls for the pool: shortest pause between trials
+MAX_TRIAL_INTERVALS = 10.0  # times the same interval: longest pause
 OVERLOAD_GAIN = 0.1  # weight of an answer in the overload share
-PAUSE_JITTER = 0.5  # of a pause: the most that is added at random, so that the fleet does not resume in step
+PAUSE_JITTER = 0.5  # of a pause: at most this is added at random, so that the fleet does not resume in step
 TRIAL_GAP_DECAY = 0.25  # factor of the gap after an answer: one lucky answer must not undo all of it
 MAX_TRIAL_GAP = 2.0  # times the aim: longest pause between trials, so that recovery is noticed in time
 CONGESTED_DELAY = 0.4  # of the aim: a queuing delay above this ends no ejection and ejects the pool
@@ -36,7 +36,7 @@
         pool.base_delay_us += max(BASE_GAIN, 1 / pool.base_samples) * (delay_us - pool.base_delay_us)
     pool.answered_at, pool.error_run = state.now, 0
     if queuing_us > CONGESTED_DELAY * state.aim:
-        # Guards against refilling a congested pool: its delay decays here within seconds, its queue does not.
+        # Guards against refilling a congested pool: its delay decays in a second or two, its queue does not.
         eject(state, pool, FIRST_TRIAL_GAP * state.aim)
     else:
         pool.is_ejected = False
--- a/pearloom/policy/lifecycle.py
+++ b/pearloom/policy/lifecycle.py
@@ -8,10 +8,10 @@
 from pearloom.policy.state import FIRST_TRIAL_GAP, INITIAL_BASE_DELAY, Call, Pool, State
 
 WORTH_GAIN = 0.01  # weight of one call in the mean worth offered
-RANK_STEPS = (0.5, 1.25)  # of the mean worth: below the first rank 0, from the second on rank 2
+RANK_STEPS = (0.5, 1.25)  # times the mean worth: below the first rank 0, from the second on rank 2
 SHARE_SLACK = 1.1  # times the tenant's fraction: the local mix of calls is a small sample
 SHARE_BURST = 8.0  # calls by which a tenant may exceed its fraction
-HOLD_TIME = 0.5  # of the aim: how long a call may wait here for a gate to open; the rest is for the set-up
+HOLD_TIME = 0.5  # of the aim: how long a call may be held for a gate to open; the rest is for the set-up
 STAY_AWAY = 1.0  # of the aim: time a refused caller is asked to stay away; sooner the gates are still closed
 HELD_RETRY = 0.1  # of the resend gap: how often held calls are tried when nothing else happens
 SILENT_AFTER = 0.5  # of the aim: an attempt unanswered so long, without another answer since, is silence
@@ -32,12 +32,12 @@
         self._next_token = 2  # 0: subscribe to the list again; 1: retry held calls
         self._held: tuple[deque[Call], ...] = (deque(), deque(), deque())  # by rank
         self._held_retry_at = -1
-        self._mean_worth = min(call_class.worth for call_class in state.settings.classes)  # most calls'
+        self._mean_worth = min(call_class.worth for call_class in state.settings.classes)  # of most calls
         self._share_credit = [SHARE_BURST] * len(state.settings.tenants)
         self._unserved: dict[tuple[str, api.CallClass], int] = {}  # value: arrival of the first try
 
     def on_arrival(self, event: api.CallArrived) -> None:
-        """A call arrived at this softswitch and needs one final answer."""
+        """Handle a new call, which needs one final answer."""
         state = self._state
         if event.call in self._calls:
             raise ValueError(f"call {event.call}: arrived already")
@@ -88,7 +88,7 @@
                 else state.now)  # fmt: skip
 
     def on_answer(self, event: api.CallStands) -> None:
-        """An attempt was answered."""
+        """Handle the answer to an attempt."""
         call = self._attempt_of(event.call, event.attempt, event.server)
         pool = self._state.pools.get(event.server)
         if pool is not None:
@@ -100,7 +100,7 @@
             call.is_established = call.is_decided = True
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
         state = self._state
         call = self._attempt_of(event.call, event.attempt, event.server)
         pool = state.pools.get(event.server)
@@ -123,7 +123,7 @@
         self._drop_if_settled(call)
 
     def on_caller_gone(self, name: str) -> None:
-        """The caller left."""
+        """Handle a caller that left."""
         if (call := self._calls.get(name)) is not None:
             call.is_decided = True
             self._drop_if_settled(call)
@@ -193,7 +193,7 @@
         self._state.actions.append(api.SetTimer(max(at - self._state.now, 1), call.token))
 
     def on_timer(self, token: int) -> None:
-        """A timer has expired."""
+        """Handle an expired timer."""
         state = self._state
         if token == 0:
             state.actions.append(api.Subscribe())
@@ -235,7 +235,7 @@
             self._set_timer(call, min(call.deadline, state.now + int(CHECK_INTERVAL * state.aim)))
 
     def _clear_attempt(self, call: Call) -> None:
-        """The current attempt has its outcome."""
+        """Clear the current attempt, which has its outcome."""
         pool = self._state.pools.get(call.server)
         if pool is not None:
             pool.outstanding.pop(call.name, None)
--- a/pearloom/policy/state.py
+++ b/pearloom/policy/state.py
@@ -11,7 +11,7 @@
 LIMIT_HEADROOM = 1.0  # calls above the expected need; few, since every softswitch of the fleet adds them
 DELAY_CAP = 0.3  # of the aim: caps base delay and resend gap, and replaces the gap where nothing is resent
 RATE_LIMIT_BURST = 1.0  # calls by which sends may exceed the rate limit
-SMALL_FLEET = 8.0  # softswitches: each of so few sees enough of every pool; call intervals do not matter
+SMALL_FLEET = 8.0  # softswitches: each of so few sees enough of every pool; call intervals do not count
 FIRST_TRIAL_GAP = 0.5  # of the aim: first pause between single trials of a silent pool; it doubles
 
 
@@ -23,10 +23,10 @@
     cell: int
     state: PoolState
     base_delay_us: float  # smoothed delay of answers that did not queue at the server
-    limit: float
+    limit: float  # outstanding set-ups that the gate allows
     started_us: int = 0
     cold_until: int = 0
-    budget_rounding: float = 0.0  # 0 to 1, drawn: rounds a cold budget below one call up at some softswitches
+    budget_rounding: float = 0.0  # 0 to 1, random: some softswitches round a cold budget below one call up
     credit: float = RATE_LIMIT_BURST  # calls that the rate limit still allows
     credit_at: int = 0
     outstanding: dict[str, int] = field(default_factory=dict)  # unanswered set-ups: call -> when sent
@@ -39,7 +39,7 @@
     trial_gap: float = 0.0
     free_lines: float = 1e9  # last report, less lines taken since, plus lines released here; first: no limit
     reported_free: float = 1e9  # free lines in the last report
-    line_rounding: float = 0.0  # 0 to 1, drawn with each report: rounds a part of the free lines below one
+    line_rounding: float = 0.0  # 0 to 1, random for each report: rounds a part of the free lines below one
     lines: float = 1.0  # size, once reported: capacity is assumed proportional to it
     offered: int = 0  # calls in this period whose first choice is this pool
     established: int = 0  # calls that this pool answered in this period
@@ -95,10 +95,10 @@
         self.aim = min(call_class.aim_us for call_class in settings.classes)
         self.resend_gap = min(settings.resend_us or self.aim, DELAY_CAP * self.aim)
         self.are_sizes_known = False  # a pool has reported its size
-        self.warm_rate = 0.0  # calls from here that pools were seen to carry, per second and line
+        self.warm_rate = 0.0  # calls of this softswitch that pools were seen to carry, per second and line
         self.arrivals = 0  # calls in this retune period
         self.overload = 0.0  # share of answers, at all pools, that were slow or 'processor full'
-        self.local_rate = 0.0  # calls per second here, redials included; 0 until a period has passed
+        self.local_rate = 0.0  # calls per second, redials included; 0 until a period has passed
         self.ready_lines = 0.0  # sum over all pools listed as ready
         self.min_pool_lines = 1.0  # of the pools with a reported size
         self.closed_rank = -1  # up to this rank all gates were found closed during the current event
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -143,7 +143,7 @@
                 "call",
                 "call",
                 "call",
-                "stand",
+                "answer",
                 "end",
                 "end",
                 "gone",
@@ -171,7 +171,7 @@
                 patience = (50_000, 700_000, 3_000_000)[pick % 3]
                 world.calls[name] = CallRecord(world.now + patience)
                 world.handle(api.CallArrived(name, pick % 2, 0, patience, pick % 4))
-            case "stand" if outstanding:
+            case "answer" if outstanding:
                 name, n = outstanding[pick % len(outstanding)]
                 call = world.calls[name]
                 if call.outstanding == n and not call.is_established and not call.is_final:
