--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -23,9 +23,9 @@
 
 from pearloom.binary.callers import Callers
 from pearloom.core.config import Config, ListUpdate, Server
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 from pearloom.interface import PoolEntry, PoolState
 from pearloom.servers.coordinator import Coordinator
 from pearloom.servers.directory import Directory
@@ -124,7 +124,7 @@
         pass  # nobody serves this address, or the one that did is gone: a plain start
     except (OSError, ValueError, KeyError, TypeError) as trouble:
         # Guards against a file that an earlier process left, and an elder that hangs or speaks otherwise.
-        note(logging.WARNING, "handover_unanswered", reason=str(trouble) or type(trouble).__name__)
+        log_event(logging.WARNING, "handover_unanswered", reason=str(trouble) or type(trouble).__name__)
     sock.close()
     return None
 
@@ -180,7 +180,7 @@
             path.chmod(0o600)
             listener.listen(4)
         except OSError as trouble:
-            note(logging.WARNING, "handover_unavailable", reason=str(trouble))
+            log_event(logging.WARNING, "handover_unavailable", reason=str(trouble))
             listener.close()
         else:
             self._accepting = gevent.spawn(self._accept, listener)
@@ -226,7 +226,7 @@
 
     # --- as the elder ---------------------------------------------------------------------------------------
     def _accept(self, listener: socket.socket) -> None:
-        for sock in accepted(listener, "handover"):
+        for sock in accept_connections(listener, "handover"):
             gevent.spawn(self._give, sock)
 
     def _give(self, sock: socket.socket) -> None:
@@ -239,47 +239,47 @@
         try:
             servers = [
                 [one.entry.server, one.entry.cell, one.entry.state.value, one.entry.started_us, *one.address]
-                for one in self._servers.listing()
+                for one in self._servers.listed_servers()
             ]
             first = {
                 "say": "list",
                 "known": self._known_digest,
                 "index": self._coordinator.index,
                 "servers": servers,
-                "zones": {one.entry.server: one.zone for one in self._servers.listing()},
+                "zones": {one.entry.server: one.zone for one in self._servers.listed_servers()},
                 "drained": self._callers.drained,
             }
             # The socket goes with the first byte; the line may be longer than one write takes.
             line = encode(first)
             plain_socket.send_fds(sock, [line[:1]], [listener.fileno()])
             sock.sendall(line[1:])
-            note(logging.INFO, "handover_begun", standing_calls=self._exchange.standing_calls)
+            log_event(logging.INFO, "handover_begun", standing_calls=self._exchange.established_calls)
             gevent.spawn(self._tell, other, self._changes())
             while (message := other.channel.hear()) is not None:
                 self._heard_from_younger(other, message)
         except (OSError, ValueError, KeyError) as trouble:
-            note(logging.WARNING, "handover_broke", reason=str(trouble))
+            log_event(logging.WARNING, "handover_broke", reason=str(trouble))
         except Exception:
-            crashed("handover_failed")
+            log_exception("handover_failed")
         self._younger = None
         sock.close()
         if self._callers.yielded and not self._callers.stopping:
             # Guards against a younger process that dies: this one serves on.
-            note(logging.WARNING, "handover_undone")
-            self._callers.resume()
+            log_event(logging.WARNING, "handover_undone")
+            self._callers.resume_accepting()
             if self._path is not None:
                 self.listen(self._path)
 
     def _heard_from_younger(self, other: _Other, message: Message) -> None:
         match message["say"]:
             case "took":
-                self._callers.yield_()
+                self._callers.stop_accepting()
                 self._unlisten()
                 other.to_say.append({"say": "yielded"})
-                note(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
+                log_event(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
             case "over":
                 for call in message["calls"]:
-                    self._exchange.drop(call)
+                    self._exchange.end_established(call)
             case _:
                 self._heard(message)
 
@@ -291,7 +291,7 @@
 
         def look() -> list[Message]:
             nonlocal standing, opened, held
-            now = {call: rest for call, *rest in self._exchange.standing()}
+            now = {call: rest for call, *rest in self._exchange.list_established()}
             begun = [[call, *now[call]] for call in now if call not in standing]
             over = [call for call in standing if call not in now]
             open_now = self._exchange.open_ids()
@@ -316,18 +316,18 @@
             while (message := other.channel.hear()) is not None:
                 self._heard_from_elder(message)
         except (OSError, ValueError, KeyError) as trouble:
-            note(logging.WARNING, "handover_broke", reason=str(trouble))
+            log_event(logging.WARNING, "handover_broke", reason=str(trouble))
         except Exception:
-            crashed("handover_failed")
+            log_exception("handover_failed")
         self._elder = None
         other.channel.sock.close()
-        self._callers.held_elsewhere = 0
+        self._callers.previous_process_connections = 0
         self._exchange.open_elsewhere = set()
         self._accepts_here.set()
-        note(logging.INFO, "elder_gone", inherited=len(self._inherited))
+        log_event(logging.INFO, "elder_gone", inherited=len(self._inherited))
         # Guards against a release that a session server wrote to a connection which ended with the elder: it
         # sends it again on the next one that is opened.
-        self._servers.dial_all()
+        self._servers.dial_servers_with_calls()
 
     def _heard_from_elder(self, message: Message) -> None:
         match message["say"]:
@@ -338,11 +338,11 @@
             case "over":
                 for call in message["calls"]:
                     self._inherited.discard(call)
-                    self._exchange.drop(call)
+                    self._exchange.end_established(call)
             case "open":
                 self._exchange.open_elsewhere = set(message["calls"])
             case "held":
-                self._callers.held_elsewhere = message["connections"]
+                self._callers.previous_process_connections = message["connections"]
             case "release":
                 self._callers.release(message["call"], message["cause"], None)
             case "yielded":
@@ -352,7 +352,7 @@
 
     def _over(self) -> list[Message]:
         """Inherited calls that ended here: the elder has nothing more to do for them."""
-        over = [call for call in self._inherited if not self._exchange.is_standing(call)]
+        over = [call for call in self._inherited if not self._exchange.is_established(call)]
         self._inherited.difference_update(over)
         return [{"say": "over", "calls": over}] if over else []
 
@@ -373,4 +373,4 @@
         except OSError:
             pass  # whoever reads from it sees its end
         except Exception:
-            crashed("handover_failed")
+            log_exception("handover_failed")
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -14,9 +14,9 @@
 from gevent import socket
 
 from pearloom.core.config import Address
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 
 BACKLOG = 256
 CALL_S = 1.0  # from the connection to the last byte of the call: silent callers stay for seconds
@@ -163,7 +163,7 @@
         return host, port
 
     def _accept(self, listener: socket.socket) -> None:
-        for sock in accepted(listener, "management"):
+        for sock in accept_connections(listener, "management"):
             call = _Call(sock, self._most_bytes)
             self._make_room()
             self._calls[call] = None
@@ -190,7 +190,7 @@
         except OSError:
             pass  # the caller is gone, or had to make room
         except Exception:
-            crashed("management_failed")
+            log_exception("management_failed")
         finally:
             self._calls.pop(call, None)
             call.sock.close()
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -11,11 +11,11 @@
 
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
+from pearloom.core.calls import Media
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.sides import Media
+from pearloom.core.logs import log_event
 
 if TYPE_CHECKING:
     from pearloom.binary.callers import Callers
@@ -56,17 +56,17 @@
 
     # --- exchange.Caller
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Is the caller's side of the connection open?"""
         return not self.connection.peer_ended
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Pass the answer on."""
         self.open.discard(call)
         message = Message(Type.ANSWER, call, {Code.DESCRIPTION: description})
         self._send(_OutboundAnswer(isup.encode(message), call))
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Turn the set-up away."""
         self.open.discard(call)
         parameters = {int(Code.CAUSE): bytes([Cause.CONGESTION])}
@@ -74,12 +74,12 @@
             parameters[Code.STAY_AWAY_MS] = str(round(stay_away_ms)).encode("ascii")
         self._send(OutboundMessage(isup.encode(Message(Type.RELEASE, call, parameters)), call))
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Say that the set-up failed."""
         self.open.discard(call)
         self._send_release(call, Cause.TEMPORARY_FAILURE)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Signalling alone goes here: what is said in a call reaches the caller as its description says."""
         self._side.counters.add("media_dropped")
 
@@ -94,7 +94,7 @@
     @property
     def is_busy(self) -> bool:
         """Is a set-up open or half read, or anything left to read or write?"""
-        return bool(self.open) or self._decoder.inside or self.connection.busy
+        return bool(self.open) or self._decoder.inside or self.connection.is_busy
 
     def idle_reason(self, now_ms: float) -> str:
         """Why this connection may be closed, or nothing.
@@ -107,7 +107,7 @@
             return "no whole message"
         still = now_ms - self.heard_ms
         if still > (UNUSED_MS if self.spoke else SILENT_MS) and not self._side.is_talker(self):
-            return "" if self.connection.busy else "unused"
+            return "" if self.connection.is_busy else "unused"
         return ""
 
     def expendable(self, now_ms: float) -> tuple[int, float] | None:
@@ -132,7 +132,7 @@
         answered, and a new one has time to speak."""
         fresh = not self.spoke and now_ms - self._opened_ms < FRESH_MS
         late = emptied_ms > EMPTY_INSIDE_MS
-        if self.open or (not late and (fresh or self._decoder.inside)) or self.connection.busy:
+        if self.open or (not late and (fresh or self._decoder.inside)) or self.connection.is_busy:
             return
         self._side.counters.add("caller_connections_emptied")
         self.connection.close("emptied")
@@ -152,7 +152,7 @@
     def _undelivered(self, outbound: OutboundMessage) -> None:
         """Guards against a call that stands at a server while its caller never hears of it."""
         if isinstance(outbound, _OutboundAnswer):
-            self._side.exchange.left(outbound.call, Cause.TEMPORARY_FAILURE)
+            self._side.exchange.handle_caller_release(outbound.call, Cause.TEMPORARY_FAILURE)
 
     def _data(self, data: bytes) -> None:
         self._byte_ms = self._side.now_ms()
@@ -163,7 +163,7 @@
             elif message.fatal:
                 self._malformed(message)
                 self._expel()
-            elif not self._malformed(message).is_open(message.call):
+            elif not self._malformed(message).has_call(message.call):
                 # Guards against a caller that waits for a word on what could not be read.
                 self._send_release(message.call, Cause.INVALID_SET_UP)
         if not self._decoder.inside:
@@ -173,7 +173,7 @@
 
     def _malformed(self, message: Malformed) -> Exchange:
         self._side.counters.add("malformed_from_callers")
-        note(
+        log_event(
             logging.WARNING,
             "caller_malformed",
             reason=message.reason,
@@ -185,8 +185,8 @@
     def _expel(self) -> None:
         """Nothing more can be read here: answer what is open, then close."""
         for call in list(self.open):
-            self._side.exchange.spoil(call)
-            self.failed(call)
+            self._side.exchange.abort_set_up(call)
+            self.send_failure(call)
         self.connection.finish()
 
     def _message(self, message: Message) -> None:
@@ -197,22 +197,24 @@
                 self._side.talked(self)
                 cause = message.cause
                 self.open.discard(message.call)
-                self._side.exchange.left(message.call, Cause.NORMAL if cause is None else cause)
-                self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_HEARD, message.call))))
-            case Type.RELEASE_HEARD:
+                self._side.exchange.handle_caller_release(
+                    message.call, Cause.NORMAL if cause is None else cause
+                )
+                self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_COMPLETE, message.call))))
+            case Type.RELEASE_COMPLETE:
                 self._side.talked(self)
                 self._side.counters.add("releases_heard")
                 self.unheard.pop(message.call, None)
             case Type.TEST:
-                cause = 1 if self._side.takes_work else 0
+                cause = 1 if self._side.is_in_service else 0
                 reply = Message(Type.TESTED, message.call, {Code.CAUSE: bytes([cause])})
                 self._send(OutboundMessage(isup.encode(reply)))
             case Type.PROGRESS | Type.GROUP_STATE | Type.TESTED:
                 pass
             case _:
                 self._side.counters.add("malformed_from_callers")
-                note(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
-                if not self._side.exchange.is_open(message.call):
+                log_event(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
+                if not self._side.exchange.has_call(message.call):
                     self._send_release(message.call, Cause.UNKNOWN_TYPE)
 
     def _set_up(self, message: Message) -> None:
@@ -220,47 +222,47 @@
         if message.call in exchange.open_elsewhere:
             # Guards against a second attempt of a set-up that the process before this one still has open.
             self._side.counters.add("open_elsewhere")
-            self.refused(message.call, exchange.stay_away_ms)
+            self.send_refusal(message.call, exchange.stay_away_ms)
             return
-        if exchange.is_open(message.call) or exchange.is_over(message.call):
+        if exchange.has_call(message.call) or exchange.is_recently_ended(message.call):
             # Guards against an answer or a release that would be taken for that of another set-up.
             self._side.counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_duplicate", call=message.call)
+            log_event(logging.WARNING, "caller_duplicate", call=message.call)
             if message.call in self.open:
                 # Neither of the two can be told from the other: none may be served.
-                exchange.spoil(message.call)
+                exchange.abort_set_up(message.call)
                 self.open.discard(message.call)
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
         offer = self._side.read_offer(message)
         if offer is None:
-            note(logging.WARNING, "caller_bad_set_up", call=message.call)
+            log_event(logging.WARNING, "caller_bad_set_up", call=message.call)
             self._side.counters.add("bad_set_ups")
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
         self._side.talked(self)
-        if len(self.open) >= MOST_OPEN_EACH or self._side.refuses:
+        if len(self.open) >= MOST_OPEN_EACH or self._side.is_refusing:
             # Guards against one connection that takes what all callers share, and against one that is never
             # without a set-up and so would outlive a drain.
-            exchange.refuse(offer, self)
+            exchange.refuse_set_up(offer, self)
             return
         self.open.add(message.call)
-        exchange.offered(offer, self)
+        exchange.handle_set_up(offer, self)
 
     def _ended(self) -> None:
         # Guards against losing set-ups of a caller that closed its sending half alone: they are answered.
         self._peer_ended = True
         for call in list(self.open):
-            self._side.exchange.caller_ended(call)
+            self._side.exchange.handle_caller_eof(call)
         if not self.open:
             self.connection.finish()
 
     def _closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
         if self.open or unsent:
-            note(logging.INFO, "caller_closed", reason=reason, open=len(self.open), unsent=len(unsent))
+            log_event(logging.INFO, "caller_closed", reason=reason, open=len(self.open), unsent=len(unsent))
         self._side.forget(self)
         for call in list(self.open):
-            self._side.exchange.left(call, Cause.NORMAL)
+            self._side.exchange.handle_caller_release(call, Cause.NORMAL)
         self.open.clear()
         for outbound in unsent:
             self._undelivered(outbound)
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -1,7 +1,7 @@
 """One softswitch's link to the store: keeps what is there at hand, its own lease alive, and tries steps.
 
 Greenlets of its own ask the store; whoever needs something reads `snapshot`, which is as it was last heard.
-What to do when is decided in `pace.py` and `port.py`; this file only waits and calls.
+What to do when is decided in `timing.py` and `port.py`; this file only waits and calls.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination.pace import Backoff, Freshness, Hold, OwnLease
 from pearloom.coordination.port import (
-    Attempt,
     Changes,
     Outcome,
     Snapshot,
     Store,
     StoreError,
+    Transaction,
     applied,
     took_effect,
 )
 from pearloom.coordination.settings import StoreSettings
+from pearloom.coordination.timing import Backoff, Freshness, Hold, LocalLease
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 
 KEEP_LOOK_S = 0.05
 READ_BACK_TRIES = 3  # after a lost reply, before the outcome counts as unknown
@@ -56,12 +56,12 @@
         self._now_ms = steady_ms
         self._read_pause, self._lease_pause = Backoff(random), Backoff(random)
         self._lease_s = settings.lease_s
-        self.lease = OwnLease(settings.lease_s * 1000.0)
+        self.lease = LocalLease(settings.lease_s * 1000.0)
         self.freshness = Freshness(settings.fresh_ms)
         self.snapshot: Snapshot | None = None
         self.highest: tuple[int, int] = (0, 0)  # cluster and revision: the newest that this process ever read
         self.on_change: list[Callable[[Snapshot], None]] = []
-        self.on_lease: list[
+        self.on_lease_granted: list[
             Callable[[], None]
         ] = []  # a new lease was granted: what hung on the old one is gone
         self._changed = Event()
@@ -81,7 +81,7 @@
             gevent.spawn(self._quietly, lambda: self._store.revoke(number)).join(release_s)
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """May something new be started on what is at hand?"""
         return self.snapshot is not None and self.freshness.fresh(self._now_ms())
 
@@ -105,7 +105,7 @@
                 self._told_up(False, str(trouble))
                 gevent.sleep(self._read_pause.failed() / 1000.0)
             except Exception:
-                crashed("store_follow_failed")
+                log_exception("store_follow_failed")
                 gevent.sleep(self._read_pause.failed() / 1000.0)
 
     def _read(self) -> None:
@@ -126,7 +126,7 @@
             return True  # a read of another greenlet had it already
         found = applied(self.snapshot, changes)
         if found is None:
-            note(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
+            log_event(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
             return False
         self._take(found, now, self.highest)
         return True
@@ -139,7 +139,7 @@
         if (found.cluster, found.revision) < (cluster, revision) or (cluster and found.cluster != cluster):
             # Guards against a store that came back without its last writes and is obeyed silently.
             self._counters.add("store_diverged")
-            note(
+            log_event(
                 logging.ERROR, "store_diverged", cluster=cluster, seen=revision, told_cluster=found.cluster,
                 told=found.revision,
             )  # fmt: skip
@@ -153,7 +153,7 @@
                 try:
                     told(found)
                 except Exception:
-                    crashed("store_change_failed")
+                    log_exception("store_change_failed")
             self._changed.set()
             self._changed.clear()
 
@@ -162,9 +162,9 @@
             return
         if not up:
             self._counters.add("store_lost")
-            note(logging.WARNING, "store_lost", reason=reason)
+            log_event(logging.WARNING, "store_lost", reason=reason)
         elif not self._up:
-            note(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
+            log_event(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
         self._up = up
 
     # --- the own lease --------------------------------------------------------------------------------------
@@ -183,16 +183,16 @@
                 else:
                     if self.lease.number:
                         self._counters.add("store_lease_ended")
-                        note(logging.WARNING, "store_lease_ended")
+                        log_event(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
-                    for told in self.on_lease:
+                    for told in self.on_lease_granted:
                         told()
                 self._lease_pause.succeeded()
             except StoreError:
                 gevent.sleep(self._lease_pause.failed() / 1000.0)
             except Exception:
-                crashed("store_lease_failed")
+                log_exception("store_lease_failed")
                 gevent.sleep(self._lease_pause.failed() / 1000.0)
 
     def read_again(self) -> None:
@@ -200,7 +200,7 @@
         self._quietly(self._read)
 
     # --- steps ----------------------------------------------------------------------------------------------
-    def attempt(self, attempt: Attempt) -> Outcome:
+    def commit(self, attempt: Transaction) -> Outcome:
         """Try one step. A lost reply is settled by reading back who won."""
         if not self.may_act() and any(write.lease for write in attempt.writes):
             return Outcome.LOST
@@ -208,11 +208,11 @@
         try:
             won = self._store.attempt(attempt, self.lease.number)
         except StoreError as trouble:
-            note(logging.WARNING, "store_reply_lost", reason=str(trouble))
+            log_event(logging.WARNING, "store_reply_lost", reason=str(trouble))
             return self._read_back(attempt)
         return Outcome.WON if won else Outcome.LOST
 
-    def _read_back(self, attempt: Attempt) -> Outcome:
+    def _read_back(self, attempt: Transaction) -> Outcome:
         pause = Backoff(Random(0))
         for _ in range(READ_BACK_TRIES):
             try:
--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -29,8 +29,8 @@
 
     key: str
     value: bytes
-    create: int
-    mod: int
+    create_revision: int
+    mod_revision: int
     lease: int = 0
 
 
@@ -48,7 +48,7 @@
         """The entry of this key, if it is there."""
         return next((entry for entry in self.entries if entry.key == key), None)
 
-    def below(self, prefix: str) -> tuple[Entry, ...]:
+    def with_prefix(self, prefix: str) -> tuple[Entry, ...]:
         """The entries whose keys begin so, by key."""
         return tuple(entry for entry in self.entries if entry.key.startswith(prefix))
 
@@ -61,7 +61,7 @@
     other writes. A value that carries a tag of its own is told from whatever else got its revision."""
 
     key: str
-    mod: int
+    mod_revision: int
     value: bytes | None = None
 
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class Transaction:
     """One optimistic transaction; its marker tells later whether it took effect, where the reply was lost."""
 
     compares: tuple[Compare, ...]
@@ -109,7 +109,7 @@
     def read(self) -> Snapshot:
         """All keys below the prefix."""
 
-    def attempt(self, attempt: Attempt, lease: int) -> bool:
+    def attempt(self, attempt: Transaction, lease: int) -> bool:
         """Try it; False where a compare did not hold."""
 
     def grant(self, ttl_s: int) -> int:
@@ -135,7 +135,7 @@
     held = {entry.key: entry for entry in snapshot.entries}
     for entry in changes.put:
         # What is not newer than the snapshot is in it already, or was deleted since.
-        if entry.mod > snapshot.revision:
+        if entry.mod_revision > snapshot.revision:
             held[entry.key] = entry
     for key, mod in changes.deleted:
         if mod > snapshot.revision:
@@ -143,7 +143,7 @@
     return Snapshot(changes.cluster, changes.revision, tuple(held[key] for key in sorted(held)))
 
 
-def took_effect(attempt: Attempt, before: Sequence[Compare], now: Snapshot) -> bool | None:
+def took_effect(attempt: Transaction, before: Sequence[Compare], now: Snapshot) -> bool | None:
     """Did an attempt whose reply was lost take effect? Read from what is there now.
 
     True: one of its values stands where it would have put it, under a newer revision than compared with.
@@ -153,12 +153,17 @@
     if not put:
         gone = all(now.find(write.key) is None for write in attempt.writes)
         return True if gone else None
-    compared = {compare.key: compare.mod for compare in before}
+    compared = {compare.key: compare.mod_revision for compare in before}
     for write in put:
         entry = now.find(write.key)
-        if entry is not None and entry.value == write.value and entry.mod > compared.get(write.key, 0):
+        if (
+            entry is not None
+            and entry.value == write.value
+            and entry.mod_revision > compared.get(write.key, 0)
+        ):
             return True
     untouched = all(
-        (entry.mod if (entry := now.find(compare.key)) else 0) == compare.mod for compare in before
+        (entry.mod_revision if (entry := now.find(compare.key)) else 0) == compare.mod_revision
+        for compare in before
     )
     return False if untouched else None
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 
 from pearloom import interface as api
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.clock import Clock
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
 from pearloom.policy import Controller
 
 
-def call_arrived_event(offer: Offer, call_route: CallRoute | None) -> api.CallArrived:
+def call_arrived_event(offer: SetUpRequest, call_route: CallRoute | None) -> api.CallArrived:
     """Build the event of a new set-up; `call_route` is the result of the fleet's routing rules, if any."""
     return api.CallArrived(
         call=offer.call,
-        kind=offer.kind,
+        kind=offer.class_index,
         tenant=offer.tenant,
         patience_us=round(offer.patience_ms * 1000),
         first_choice=offer.first_choice,
@@ -89,7 +89,7 @@
         except Exception:
             # Guards against one call whose decision fails: that call is failed, and the others go on.
             self.failed_decisions += 1
-            crashed("decision_failed", what=type(event).__name__)
+            log_exception("decision_failed", what=type(event).__name__)
             actions = [api.Fail(event.call)] if isinstance(event, api.CallArrived) else []
         for action in actions:
             self._on_action(action)
--- a/pearloom/core/logs.py
+++ b/pearloom/core/logs.py
@@ -59,12 +59,12 @@
     return '"' + text.translate(_ESCAPES) + '"'
 
 
-def note(level: int, event: str, **pairs: object) -> None:
+def log_event(level: int, event: str, **pairs: object) -> None:
     """Log one event with its pairs."""
     log.log(level, event, extra={"pairs": pairs})
 
 
-def crashed(event: str, **pairs: object) -> None:
+def log_exception(event: str, **pairs: object) -> None:
     """Log the exception at hand; the program goes on."""
     log.error(event, extra={"pairs": pairs}, exc_info=True)
 
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Entry, Snapshot, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.port import Compare, Entry, Snapshot, Transaction, Write
+from pearloom.coordination.values import decode_record
 
 MEMBERS, ROSTER = "members/", "roster/"
 MOST_GATES = 512  # that one member tells of
@@ -68,7 +68,7 @@
     told_ms: float  # when its beat was seen to change last, by the own clock; for one away, when it went
 
     @property
-    def acts(self) -> bool:
+    def is_live(self) -> bool:
         """Does it take part in what the fleet does?"""
         return self.condition is Condition.LIVE
 
@@ -85,9 +85,9 @@
         return next((member for member in self.members if member.name == name), None)
 
     @property
-    def acting(self) -> tuple[Member, ...]:
+    def live_members(self) -> tuple[Member, ...]:
         """Those that take part."""
-        return tuple(member for member in self.members if member.acts)
+        return tuple(member for member in self.members if member.is_live)
 
     @property
     def missing(self) -> tuple[str, ...]:
@@ -98,7 +98,7 @@
 
 def decode_facts(value: bytes) -> MemberFacts | None:
     """A member's value, or None where it can't be read."""
-    facts = decoded(value, MemberFacts, FORMAT)
+    facts = decode_record(value, MemberFacts, FORMAT)
     sound = (
         facts is not None
         and facts.beat >= 0
@@ -111,13 +111,13 @@
 
 def decode_roster(value: bytes) -> RosterEntry | None:
     """A roster's value, or None where it can't be read."""
-    return decoded(value, RosterEntry, FORMAT)
+    return decode_record(value, RosterEntry, FORMAT)
 
 
 def look(snapshot: Snapshot, before: View, now_ms: float, beat_ms: float) -> View:
     """The view that follows from the store as it is and from when the own clock saw what change."""
-    told = {entry.key.removeprefix(MEMBERS): entry for entry in snapshot.below(MEMBERS)}
-    roster = {entry.key.removeprefix(ROSTER): entry for entry in snapshot.below(ROSTER)}
+    told = {entry.key.removeprefix(MEMBERS): entry for entry in snapshot.with_prefix(MEMBERS)}
+    roster = {entry.key.removeprefix(ROSTER): entry for entry in snapshot.with_prefix(ROSTER)}
     members = tuple(
         _member(name, told.get(name), roster.get(name), before.find(name), now_ms, beat_ms)
         for name in sorted({*told, *roster})
@@ -152,27 +152,27 @@
     return Member(name, condition, facts.incarnation, facts.zone, facts, since)
 
 
-def join(snapshot: Snapshot, name: str, facts: MemberFacts) -> Attempt:
+def join(snapshot: Snapshot, name: str, facts: MemberFacts) -> Transaction:
     """Tell of oneself, at first and again: what was there of a former incarnation is written over.
 
     The compare is on what was read, so that of two processes under one name the later one sees the other."""
     member, roster = snapshot.find(MEMBERS + name), snapshot.find(ROSTER + name)
     stays = msgspec.json.encode(RosterEntry(FORMAT, facts.incarnation, facts.zone))
     writes = [Write(MEMBERS + name, msgspec.json.encode(facts), lease=True)]
-    compares = [Compare(MEMBERS + name, member.mod if member else 0)]
+    compares = [Compare(MEMBERS + name, member.mod_revision if member else 0)]
     if roster is None or roster.value != stays:
-        compares.append(Compare(ROSTER + name, roster.mod if roster else 0))
+        compares.append(Compare(ROSTER + name, roster.mod_revision if roster else 0))
         writes.append(Write(ROSTER + name, stays))
-    return Attempt(tuple(compares), tuple(writes))
+    return Transaction(tuple(compares), tuple(writes))
 
 
-def leave(snapshot: Snapshot, name: str) -> Attempt | None:
+def leave(snapshot: Snapshot, name: str) -> Transaction | None:
     """Leave for good: nobody misses it. None where nothing is there to be taken out."""
     keys = [entry for key in (MEMBERS + name, ROSTER + name) if (entry := snapshot.find(key)) is not None]
     if not keys:
         return None
-    return Attempt(
-        tuple(Compare(entry.key, entry.mod) for entry in keys),
+    return Transaction(
+        tuple(Compare(entry.key, entry.mod_revision) for entry in keys),
         tuple(Write(entry.key, None) for entry in keys),
     )
 
@@ -184,7 +184,7 @@
     return facts is not None and facts.incarnation > incarnation
 
 
-def paced_ms(beat_ms: float, members: int) -> float:
+def heartbeat_interval_ms(beat_ms: float, members: int) -> float:
     """How often each member tells of itself, in a fleet of this size.
 
     Guards against a store that bears the square of the fleet: each beat is told to every softswitch."""
--- a/pearloom/rollout/steps.py
+++ b/pearloom/rollout/steps.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from pearloom.coordination.port import Attempt
+from pearloom.coordination.port import Transaction
 from pearloom.rollout import stages
 from pearloom.rollout.confirm import Confirmation
 from pearloom.rollout.evidence import Evidence
@@ -52,7 +52,7 @@
 
     did: Operation
     why: str
-    attempt: Attempt
+    attempt: Transaction
 
 
 def next_step(there: HeadState, seen: Seen, asked: Request, number_seen: int) -> RolloutStep | None:
@@ -104,8 +104,8 @@
         silent = seen.now_ms - max(seen.heard_ms.get(name, seen.since_ms), seen.since_ms)
         if silent > most:
             return f"{name} has told nothing for {silent / 1000:.1f} s"
-    if judged.regressed(stage_rate(rollout)) and judged.worst is not None:
-        return judged.worst.told(stage_rate(rollout))
+    if judged.has_regressed(stage_rate(rollout)) and judged.worst is not None:
+        return judged.worst.describe(stage_rate(rollout))
     if lasted > terms.evidence_ms and not _told_enough(rollout, judged):
         few = f"{judged.calls_new} calls under the new version in {lasted / 1000:.0f} s"
         return f"{few}, {terms.least_calls} wanted"
--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -14,19 +14,21 @@
 from gevent.event import Event
 
 from pearloom.coordination import Link, Snapshot
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
-from pearloom.core.logs import note
+from pearloom.core.logs import log_event
+from pearloom.core.outcomes import CallOutcome
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
 from pearloom.rules.head import HEAD, Head, HeadState, follows, read_there, rules_of
 from pearloom.rules.records import EMPTY, RuleSet
 from pearloom.rules.settings import RulesSettings
 from pearloom.rules.snapshots import SnapshotStore
-from pearloom.rules.table import LocalContext, Table
+from pearloom.rules.table import LocalContext, RoutingTable
 
 SHELVE_AGAIN_S = 0.05  # between two writes at least
-Tallied = Callable[[str, int, int, End, float], None]  # version, mark, class, end, ms since the arrival
+Tallied = Callable[
+    [str, int, int, CallOutcome, float], None
+]  # version, mark, class, end, ms since the arrival
 
 
 class RulesHost:
@@ -46,11 +48,11 @@
         self.context, self._listed, self._settings = context, listed, settings
         self._snapshots = SnapshotStore(settings.snapshot)
         self._kept: dict[str, RuleSet] = {EMPTY: RuleSet()}
-        self._table = Table(EMPTY, RuleSet(), context)
-        self.seen: Head | None = None  # the newest head that was ever obeyed here
+        self._table = RoutingTable(EMPTY, RuleSet(), context)
+        self.applied_head: Head | None = None  # the newest head that was ever obeyed here
         self.left = 0  # the rollout that this softswitch left by itself
         self._mod = -1  # the head's revision, as last read
-        self.diverged = ""  # what the store says instead of it, if it says less
+        self.divergence = ""  # what the store says instead of it, if it says less
         self.on_obeyed: list[Callable[[], None]] = []
         self.tallied: Tallied = lambda version, mark, kind, end, took_ms: None
         self.marked: Callable[[], int] = lambda: 0
@@ -58,14 +60,14 @@
         link.on_change.append(self._changed)
 
     # --- what the exchange asks -----------------------------------------------------------------------------
-    def way(self, offer: Offer) -> CallRoute:
+    def route_for(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
         table = self._table
         return CallRoute(
-            table.version, table.route(offer.kind, offer.tenant, offer.first_choice), self.marked()
+            table.version, table.route(offer.class_index, offer.tenant, offer.first_choice), self.marked()
         )
 
-    def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
+    def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules."""
         self.tallied(way.version, way.mark, kind, end, took_ms)
 
@@ -76,7 +78,7 @@
         return self._table.version
 
     @property
-    def there(self) -> HeadState | None:
+    def head_state(self) -> HeadState | None:
         """The head and its history, as last read of the store."""
         snapshot = self._link.snapshot
         return None if snapshot is None else read_there(snapshot)
@@ -94,42 +96,52 @@
         stored = self._snapshots.read()
         if stored is not None:
             self._kept |= stored.versions
-            self.seen = stored.head
+            self.applied_head = stored.head
         answered = wait(self._settings.wait_ms)
         if answered and self._link.snapshot is not None:
             self._changed(self._link.snapshot)
-        elif self.seen is not None:
-            self._go_by(self.seen)
-        note(
+        elif self.applied_head is not None:
+            self._go_by(self.applied_head)
+        log_event(
             logging.INFO if answered else logging.WARNING, "rules_ready", version=self.version,
-            head=self.seen.number if self.seen else 0, store=answered,
+            head=self.applied_head.number if self.applied_head else 0, store=answered,
         )  # fmt: skip
 
     def _changed(self, snapshot: Snapshot) -> None:
         entry = snapshot.find(HEAD)
-        if entry is None and self.seen is None:
-            self.diverged = ""  # there is nothing to obey, as before any edit
+        if entry is None and self.applied_head is None:
+            self.divergence = ""  # there is nothing to obey, as before any edit
             return
-        mod = entry.mod if entry is not None else 0
-        if mod == self._mod and not self.diverged:
+        mod = entry.mod_revision if entry is not None else 0
+        if mod == self._mod and not self.divergence:
             return  # something else changed: heads are read as they come, not with each count told
         self._mod = mod
         there = read_there(snapshot)
         if not there.readable:
             self._diverge("unreadable")
-        elif not follows(there.head, self.seen):
+        elif not follows(there.head, self.applied_head):
             # Guards against a store that lost its last writes: its older head is named, not obeyed.
             self._diverge(str(there.head.number))
-        elif self.seen is None or there.head != self.seen or self.diverged or self.version != self._wanted():
+        elif (
+            self.applied_head is None
+            or there.head != self.applied_head
+            or self.divergence
+            or self.version != self._wanted()
+        ):
             self._obey(there.head, snapshot)
 
     def _diverge(self, told: str) -> None:
-        if told != self.diverged:
-            self.diverged = told
+        if told != self.divergence:
+            self.divergence = told
             self._counters.add("rules_diverged")
-            note(logging.ERROR, "rules_diverged", seen=self.seen.number if self.seen else 0, told=told)
-        if self.seen is not None and self.version != self._wanted():
-            self._go_by(self.seen)
+            log_event(
+                logging.ERROR,
+                "rules_diverged",
+                seen=self.applied_head.number if self.applied_head else 0,
+                told=told,
+            )
+        if self.applied_head is not None and self.version != self._wanted():
+            self._go_by(self.applied_head)
 
     def _obey(self, head: Head, snapshot: Snapshot) -> None:
         wanted = {head.version, head.before, *([head.rollout.version] if head.rollout else [])}
@@ -139,9 +151,9 @@
             # Guards against a head whose rules are spoilt or gone: what is in force stays, and it is named.
             self._diverge(f"{head.number} without its rules")
             return
-        if self.diverged:
-            note(logging.INFO, "rules_converged", head=head.number)
-        self.diverged, self.seen, self._kept = "", head, {EMPTY: RuleSet(), **kept}
+        if self.divergence:
+            log_event(logging.INFO, "rules_converged", head=head.number)
+        self.divergence, self.applied_head, self._kept = "", head, {EMPTY: RuleSet(), **kept}
         if head.rollout is None or head.rollout.id != self.left:
             self.left = 0
         self._go_by(head)
@@ -156,13 +168,13 @@
         while True:
             self._to_shelve.wait()
             self._to_shelve.clear()
-            if self.seen is not None:
-                self._snapshots.write(self.seen, dict(self._kept))
+            if self.applied_head is not None:
+                self._snapshots.write(self.applied_head, dict(self._kept))
             gevent.sleep(SHELVE_AGAIN_S)
 
     def _wanted(self) -> str:
-        assert self.seen is not None
-        return self.seen.version if self.left else self.seen.runs(self.name)
+        assert self.applied_head is not None
+        return self.applied_head.version if self.left else self.applied_head.runs(self.name)
 
     def _go_by(self, head: Head) -> None:
         version = self._wanted()
@@ -171,21 +183,25 @@
             return
         if version != self._table.version:
             self._counters.add("rules_changed")
-            note(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
-        self._table = Table(version, rules, replace(self.context, cells=self._listed()))
+            log_event(logging.INFO, "rules", version=version, before=self._table.version, head=head.number)
+        self._table = RoutingTable(version, rules, replace(self.context, cells=self._listed()))
         for told in self.on_obeyed:
             told()
 
-    def relist(self) -> None:
+    def update_zone_cells(self) -> None:
         """The pool list changed: what zones stand for may have."""
         cells = self._listed()
         if cells != self.context.cells:
             self.context = replace(self.context, cells=cells)
             if self._table.version != EMPTY:
-                self._table = Table(self._table.version, self._kept[self._table.version], self.context)
+                self._table = RoutingTable(self._table.version, self._kept[self._table.version], self.context)
 
     def leave(self, rollout: int) -> None:
         """Go back by itself from a version that is being rolled out, until the head says something else."""
-        if self.seen is not None and self.seen.rollout is not None and self.seen.rollout.id == rollout:
+        if (
+            self.applied_head is not None
+            and self.applied_head.rollout is not None
+            and self.applied_head.rollout.id == rollout
+        ):
             self.left = rollout
-            self._go_by(self.seen)
+            self._go_by(self.applied_head)
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -6,13 +6,13 @@
 
 import gevent
 
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.config import Server
 from pearloom.core.connection import OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_NORMAL
-from pearloom.core.logs import note
-from pearloom.core.remembered import Kept
-from pearloom.core.sides import Media, SetUp
+from pearloom.core.logs import log_event
+from pearloom.core.recent import RecentValues
 from pearloom.interface import Ending, PoolState
 from pearloom.servers.directory import Directory
 from pearloom.settings import read_report
@@ -31,7 +31,7 @@
 GIVEN_UP_KEPT_MS = 20_000.0  # a set-up given up whose last answer may still come
 
 
-class Trunk:
+class SipTrunk:
     """All that concerns one session server, by its id."""
 
     def __init__(
@@ -54,22 +54,22 @@
         self.dialling = False
         self._waiting: list[OutboundMessage] = []
         self._set_ups: dict[str, OutboundSetUp] = {}
-        self._given_up = Kept[tuple[str, int]](GIVEN_UP_KEPT_MS)  # call: number, CSeq
-        self._byes = Kept[OutboundMessage](BYE_KEPT_MS)
+        self._given_up = RecentValues[tuple[str, int]](GIVEN_UP_KEPT_MS)  # call: number, CSeq
+        self._byes = RecentValues[OutboundMessage](BYE_KEPT_MS)
         self._liveness = Liveness(side.clock.now_ms())
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """May it get new set-ups?"""
         return self.server.entry.state is PoolState.READY
 
     @property
     def _owing(self) -> bool:
         """Is anything to come from it?"""
-        return bool(self._set_ups) or self._exchange.standing_at(self.name) > 0
+        return bool(self._set_ups) or self._exchange.established_at(self.name) > 0
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Is it gone, with nothing left to do?"""
         busy = self._owing or self.dialling or self._waiting
         return self.server.entry.state is PoolState.GONE and not busy
@@ -85,9 +85,11 @@
         return self._side.clock.now_ms()
 
     # --- what the exchange asks for -------------------------------------------------------------------------
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an INVITE."""
-        outbound = OutboundSetUp(requests.invite(set_up), set_up, self._may_leave, self._exchange.forwarded)
+        outbound = OutboundSetUp(
+            requests.invite(set_up), set_up, self._may_leave, self._exchange.count_forwarded
+        )
         if not self._owing:
             self._liveness.owes_from(self.now_ms)
         self._set_ups[outbound.call] = outbound
@@ -119,7 +121,7 @@
             if outbound.link.heard_ms <= outbound.sent_ms < now - MUTE_FROM_MS:
                 outbound.link.mute_ms = min(outbound.link.mute_ms, now)
                 self._hand_shakes.broke(now)
-            self._given_up.put(call, (outbound.set_up.offer.number, sequence_of(outbound.set_up)), now)
+            self._given_up.put(call, (outbound.set_up.request.number, sequence_of(outbound.set_up)), now)
         return outbound.progress
 
     def withdraw_unsent(self) -> None:
@@ -141,7 +143,7 @@
         if server.entry.started_us > before.entry.started_us:
             # Guards against calls that stood on the process before this one, of which nothing will come.
             started_ms = server.entry.started_us / 1000.0
-            self._exchange.server_lost(self.name, started_ms, "restarted")
+            self._exchange.handle_server_loss(self.name, started_ms, "restarted")
             self._links.close_older(started_ms, "restarted")
         if server.entry.state is PoolState.GONE:
             self.watch()
@@ -167,7 +169,7 @@
         if may_open and self._links.make_room():
             self.dial()
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Signalling alone goes here: what is said in a call reaches this server as its description says."""
         self._side.counters.add("media_dropped")
 
@@ -208,7 +210,7 @@
 
     def _dial_failed(self, failure: DialFailure) -> None:
         refused = failure.end is DialEnd.REFUSED
-        note(logging.INFO, "dial_failed", server=self.name, refused=refused, reason=failure.reason)
+        log_event(logging.INFO, "dial_failed", server=self.name, refused=refused, reason=failure.reason)
         if failure.end is not DialEnd.NOT_TRIED:
             self._liveness.dial_failed()
         waiting, self._waiting = self._waiting, []
@@ -218,7 +220,7 @@
                     self._failed(outbound, AttemptError(Progress.CONNECTING, failure.reason))
             else:
                 self._waiting.append(outbound)
-        if refused and self._links and not self.ready:
+        if refused and self._links and not self.is_ready:
             # Guards against cutting calls of a server that drains: it takes no new connection, but those that
             # are open go on. The refusal is a sign of life of its machine.
             self._liveness.heard(self.now_ms)
@@ -229,18 +231,18 @@
             self._lost("refused")
         elif self._liveness.is_dead(self.now_ms):
             self._lost("silent")
-        elif self._exchange.standing_at(self.name) or self._waiting:
+        elif self._exchange.established_at(self.name) or self._waiting:
             self._side.exchange.after_ms(REDIAL_MS, self._redial)
 
     def _redial(self) -> None:
-        if self._exchange.standing_at(self.name) or self._waiting:
+        if self._exchange.established_at(self.name) or self._waiting:
             self.dial()
 
     def _lost(self, reason: str) -> None:
         """The server is dead, cut off, or not the one that it was."""
         self._waiting = [outbound for outbound in self._waiting if isinstance(outbound, OutboundSetUp)]
         self._byes.clear()
-        self._exchange.server_lost(self.name, self._side.clock.now_ms() + 1, reason)
+        self._exchange.handle_server_loss(self.name, self._side.clock.now_ms() + 1, reason)
         self._dead = True
         self._links.close_all(reason)
         self._dead = False
@@ -260,7 +262,7 @@
             # How many set-ups it took along, whether the server ever spoke on it and how old it was: a
             # server that closes new connections at once shows as many short, silent ones.
             spoke, age_ms = link.heard_ms > link.opened_ms, round(self.now_ms - link.opened_ms)
-            note(
+            log_event(
                 logging.INFO, "server_closed", server=self.name, reason=reason, open=len(link.open),
                 spoke=spoke, age_ms=age_ms,
             )  # fmt: skip
@@ -268,11 +270,11 @@
             self._hand_shakes.broke(self.now_ms)
         for set_up in list(link.open.values()):
             self._failed(set_up, AttemptError(set_up.progress, reason, line_only=not self._dead))
-        again = self._byes.young(self.now_ms)
+        again = self._byes.unexpired(self.now_ms)
         if self._links:
             for outbound in again:
                 self._send(outbound)
-            if self._exchange.standing_at(self.name) and not self._dead:
+            if self._exchange.established_at(self.name) and not self._dead:
                 # Guards against a release that was written to the connection that ended: the server sends it
                 # again on the next one that is opened.
                 pause_ms = self._hand_shakes.after_close(self.now_ms)
@@ -280,15 +282,15 @@
                     self._side.exchange.after_ms(pause_ms, self._dial_after_close)
             return
         self._waiting += [outbound for outbound in again if outbound not in self._waiting]
-        if self._exchange.standing_at(self.name) or self._waiting:
-            if not self.ready and self._side.address_taken(self):
+        if self._exchange.established_at(self.name) or self._waiting:
+            if not self.is_ready and self._side.address_taken(self):
                 # Guards against taking the process that now has this address for the one that had the calls.
                 self._lost("replaced")
             else:
                 self.dial()
 
     def _dial_after_close(self) -> None:
-        if self._exchange.standing_at(self.name):
+        if self._exchange.established_at(self.name):
             self._dial_another()
 
     def watch(self) -> None:
@@ -297,10 +299,12 @@
         if not self._owing:
             return
         is_gone = self.server.entry.state is PoolState.GONE
-        if is_gone or (not self.ready and self._side.address_taken(self)):
+        if is_gone or (not self.is_ready and self._side.address_taken(self)):
             # Guards against taking the process that now has this address, and talks, for the one that had the
             # calls: only a connection from before them can still be the old one's.
-            self._exchange.server_lost(self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced")
+            self._exchange.handle_server_loss(
+                self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced"
+            )
         if is_gone and self.now_ms - self._links.heard_ms() >= QUIET_MS:
             self._lost("gone")
         elif not is_gone and self._liveness.is_quiet(self.now_ms):
@@ -314,7 +318,7 @@
         """Something came that is no SIP."""
         self._side.counters.add("malformed_from_servers")
         why = {"reason": message.reason, "closed": message.fatal}
-        note(logging.WARNING, "server_malformed", server=self.name, **why)
+        log_event(logging.WARNING, "server_malformed", server=self.name, **why)
 
     def message(self, link: Link, message: sip.Request | sip.Response) -> None:
         """Take one message."""
@@ -328,7 +332,7 @@
         elif isinstance(message, sip.Request) and message.method == "NOTIFY":
             pass  # all that it tells is in its X-Circuits, and it wants no answer
         elif call is None:
-            note(logging.WARNING, "server_no_call", server=self.name)
+            log_event(logging.WARNING, "server_no_call", server=self.name)
         elif isinstance(message, sip.Response):
             self._response(link, call, message)
         elif message.method == "BYE":
@@ -336,7 +340,9 @@
             cause = sip.reason_cause(message)
             self._released(call, CAUSE_NORMAL if cause is None else cause)
         elif message.method != "ACK":
-            note(logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call)
+            log_event(
+                logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call
+            )
 
     def _report(self, figures: str) -> None:
         """Guards against a gate that learns only from refusals how few lines are free."""
@@ -345,14 +351,14 @@
         except ValueError:
             self.malformed(Malformed(f"X-Circuits {figures[:60]!r}", fatal=False))
         else:
-            self._exchange.reported(self.name, report)
+            self._exchange.handle_server_report(self.name, report)
 
     def _released(self, call: str, cause: int) -> None:
         outbound = self._set_ups.get(call)
         if outbound is not None:
             self._failed(outbound, AttemptError(Progress.ANSWERED, "released", Ending.RESET))
         else:
-            self._exchange.released(self.name, call, cause)
+            self._exchange.handle_server_release(self.name, call, cause)
 
     def _response(self, link: Link, call: str, response: sip.Response) -> None:
         if response.method == "BYE":
@@ -362,18 +368,20 @@
         outbound = self._set_ups.get(call)
         if outbound is not None and outbound.link is not link:
             # Guards against what comes late of an attempt before this one.
-            note(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
+            log_event(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
             return
         if outbound is not None:
-            number, sequence = outbound.set_up.offer.number, sequence_of(outbound.set_up)
+            number, sequence = outbound.set_up.request.number, sequence_of(outbound.set_up)
         elif (given_up := self._given_up.pop(call)) is not None:
             number, sequence = given_up
-        elif self._exchange.is_open(call) or self._exchange.is_over(call):
+        elif self._exchange.has_call(call) or self._exchange.is_recently_ended(call):
             number, sequence = "unknown", 1
         else:
             # Guards against an answer under an id that nobody sent.
             self._side.counters.add("unknown_from_servers")
-            note(logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status)
+            log_event(
+                logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status
+            )
             return
         link.send(OutboundMessage(requests.ack(call, number, sequence)))
         if response.status >= 300:
@@ -384,9 +392,9 @@
             del self._set_ups[call]
             link.open.pop(call, None)
             outbound.progress = Progress.ANSWERED
-            if self._exchange.stands(call, outbound.set_up.attempt, response.body):
+            if self._exchange.handle_answer(call, outbound.set_up.attempt, response.body):
                 return
-        if not self._exchange.stands_at(self.name, call):
+        if not self._exchange.is_established_at(self.name, call):
             # Guards against an answer that crossed a CANCEL: without a BYE the call would stand for nobody.
             self.release(call, number, CAUSE_NORMAL)
 
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -12,11 +12,11 @@
 from pearloom import interface as api
 from pearloom.interface import ListKind, PoolEntry, PoolState, Route
 from pearloom.policy import Controller
-from pearloom.rules.check import MOST_CHOICES, Known, faults
+from pearloom.rules.check import MOST_CHOICES, KnownNames, find_errors
 from pearloom.rules.records import (
+    MAX_RULES,
     MOST_CAPS,
     MOST_NAMES,
-    MOST_RULES,
     Avoid,
     Cap,
     Effect,
@@ -31,18 +31,18 @@
     read_rules,
     version_of,
 )
-from pearloom.rules.table import FIRST, LAST, OTHERS, OWN, SPILL, LocalContext, Table
+from pearloom.rules.table import FIRST, LAST, OTHERS, OWN, SPILL, LocalContext, RoutingTable
 
 PLACE = LocalContext(
     ("open-form", "save-answers"), ("nour", "sahel"), "amsterdam",
     {"amsterdam": frozenset({0, 1}), "dublin": frozenset({2}), "lyon": frozenset({3})},
 )  # fmt: skip
-KNOWN = Known(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
+KNOWN = KnownNames(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
 
 
-def table(*effects: Effect, match: Match | None = None) -> Table:
+def table(*effects: Effect, match: Match | None = None) -> RoutingTable:
     made = tuple(Rule(f"r{at}", effect, match or Match()) for at, effect in enumerate(effects))
-    return Table("v", RuleSet(rules=made), PLACE)
+    return RoutingTable("v", RuleSet(rules=made), PLACE)
 
 
 def test_no_rules_say_nothing() -> None:
@@ -129,22 +129,22 @@
         ([rule(Spill(()))], "$.rules[0].effect.zones: an order of at least one zone"),
         ([rule(Only((5,)))], "effect.cells: leave the class 'save-answers' no cell that it may use"),
         ([rule(Prefer(tuple(range(MOST_NAMES + 1))))], f"{MOST_NAMES} at most"),
-        ([rule(Prefer((1,)), f"r{at}") for at in range(MOST_RULES + 1)], f"{MOST_RULES} at most"),
+        ([rule(Prefer((1,)), f"r{at}") for at in range(MAX_RULES + 1)], f"{MAX_RULES} at most"),
         ([rule(Cap(0.5, (1,)), f"r{at}") for at in range(MOST_CAPS + 1)], f"{MOST_CAPS} at most"),
         ([rule(Prefer((1,)), f"r{at}", first_choice=tuple(range(60 * at, 60 * at + 60))) for at in range(5)],
          f"{MOST_CHOICES} at most"),
     ],
 )  # fmt: skip
 def test_each_fault_is_told_with_its_path(made: list[Rule], told: str) -> None:
-    found = faults(RuleSet(rules=tuple(made)), KNOWN)
+    found = find_errors(RuleSet(rules=tuple(made)), KNOWN)
     assert any(told in line for line in found), found
     assert all(line.startswith("$.rules") for line in found), "each line begins with its path"
 
 
 def test_all_faults_are_told_and_sound_rules_have_none() -> None:
     two = RuleSet(rules=(rule(Weigh(0.0, ()), "a b"), rule(Prefer((1,)), tenant=("nour",))))
-    assert len(faults(two, KNOWN)) == 3
-    assert faults(RuleSet(rules=(rule(Only((0, 5))),)), KNOWN) == []
+    assert len(find_errors(two, KNOWN)) == 3
+    assert find_errors(RuleSet(rules=(rule(Only((0, 5))),)), KNOWN) == []
 
 
 def test_a_version_is_its_rules_whatever_their_spelling() -> None:
