--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -13,16 +13,16 @@
 from pearloom.policy import Controller
 
 
-def call_arrived_event(offer: SetUpRequest, call_route: CallRoute | None) -> api.CallArrived:
+def call_arrived_event(request: SetUpRequest, call_route: CallRoute | None) -> api.CallArrived:
     """Build the event of a new set-up; `call_route` is the result of the fleet's routing rules, if any."""
     return api.CallArrived(
-        call=offer.call,
-        kind=offer.class_index,
-        tenant=offer.tenant,
-        patience_us=round(offer.patience_ms * 1000),
-        first_choice=offer.first_choice,
-        was_cut=offer.was_cut,
-        number=offer.number,
+        call=request.call,
+        kind=request.class_index,
+        tenant=request.tenant,
+        patience_us=round(request.patience_ms * 1000),
+        first_choice=request.first_choice,
+        was_cut=request.was_cut,
+        number=request.number,
         route=call_route.route if call_route is not None else None,
     )
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -29,9 +29,9 @@
     if name is not None:
         parameters[Code.TENANT] = name
     try:
-        offer = player.softswitch.callers.read_offer(Message(Type.SET_UP, "00" * 7 + "b0", parameters))
-        assert offer is not None
-        exchange.handle_set_up(offer, NullCaller())
+        request = player.softswitch.callers.read_offer(Message(Type.SET_UP, "00" * 7 + "b0", parameters))
+        assert request is not None
+        exchange.handle_set_up(request, NullCaller())
     finally:
         player.close()
     assert isinstance(events[-1], api.CallArrived) and events[-1].tenant == tenant
