--- a/benchmarks/guards/calls.py
+++ b/benchmarks/guards/calls.py
@@ -17,7 +17,7 @@
     Guard("the caller is there right before the send", "core/exchange.py", "        if not call.caller.is_there:\n            self._turn_away(call)\n            return False\n", "", (CALLER,)),
     Guard("the time is not over right before the send", "core/exchange.py", "if self._clock.now_ms() >= call.sent_ms + call.timeout_ms:", "if False:", (SERVER,)),
     Guard("a set-up behind a close is not offered", "core/exchange.py", " or not caller.is_there:", ":", (CALLER,)),
-    Guard("a half-closed caller that waits is refused", "binary/connection.py", "            self._side.exchange.caller_ended(call)\n", "            pass\n", (CALLER,)),
+    Guard("a half-closed caller that waits is refused", "binary/connection.py", "            self._callers.exchange.caller_ended(call)\n", "            pass\n", (CALLER,)),
     Guard("a write does not wait with a batch in hand", "core/connection.py", "sent = self._sock.send(data, 0, 0.0)", "sent = self._sock.send(data)", (CALLER,)),
     Guard("a write that is never taken ends", "core/connection.py", 'with gevent.Timeout(WRITE_S, TimeoutError("the peer takes nothing")):', "if True:", (SERVER,)),
     Guard("what came before a close is read", "core/connection.py", "        gevent.sleep(LAST_READ_S)\n", "", (SERVER,)),
--- a/pearloom/binary/__init__.py
+++ b/pearloom/binary/__init__.py
@@ -1,1 +1,1 @@
-"""Callers of the binary protocol: their messages and their listener."""
+"""Callers over the binary protocol: the codec, their connections and the listener."""
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -1,4 +1,4 @@
-"""The server side: callers that bring set-ups over the binary protocol."""
+"""The callers of the binary protocol: the listener, all their connections, and the releases sent to them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import gevent
 from gevent import socket
 
-from pearloom.binary.connection import UNHEARD_MS, CallerConnection
+from pearloom.binary.connection import RELEASE_RESEND_MS, CallerConnection
 from pearloom.binary.isup import Code, Message
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address, Config
@@ -23,111 +23,109 @@
 from pearloom.core.offers import OfferRules
 from pearloom.core.sides import Caller, Offer
 
-CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
-BASE_MB = 14.0  # what the program takes with no connection
-CONNECTION_MB = 0.04  # and for each: they may take half of the rest of the memory
-BACKLOG = 512
-ACCEPTS_A_TURN = 16  # then those that are connected have their turn
-WATCH_MS = 250.0  # how often connections are looked at
-EVICTED_SHARE = 1 / 32  # x connections: closed at once; to look at all of them for each new one costs much
-MOST_LOOKS = 32  # how many of them are asked whether they can go
-TALKERS_KEPT = 4  # connections that releases are told on; not closed for others
-EMPTY_LOOK_MS = 50.0  # how often connections are looked at while the softswitch is emptied
-EMPTY_FOR_MS = 1800.0  # set-ups that come later are refused: after 4 s none younger than 2 s may be open
-RELEASES_KEPT = 20_000  # releases that wait for a connection
+CONNECTIONS_SHARE = 0.6  # of the descriptors; callers hold a third at most, the rest is for servers and files
+BASE_MB = 14.0  # memory of the program without any connection
+CONNECTION_MB = 0.04  # memory of one connection; all of them may take half of what is left
+LISTEN_BACKLOG = 512
+ACCEPTS_PER_TURN = 16  # connections accepted before the other greenlets run
+TIMEOUT_CHECK_MS = 250.0  # between checks for silent connections
+EVICTED_SHARE = 1 / 32  # of the connections, closed at once: ranking all of them for each new one costs much
+MAX_EVICTION_CHECKS = 32  # connections of one ranking whose sockets are checked for unread bytes
+RELEASE_TARGETS_KEPT = 4  # connections that releases can be sent on; not closed to make room
+EMPTYING_CHECK_MS = 50.0  # between checks for idle connections while this softswitch is emptied
+REFUSE_AFTER_MS = 1800.0  # of emptying, so that 4 s after its start no unanswered set-up is younger than 2 s
+MAX_UNSENT_RELEASES = 20_000  # releases that wait for a connection
 _MILLISECONDS = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?")
-_FIGURES = re.compile(r"[a-z]{1,16}:-?[0-9]{1,9}(;[a-z]{1,16}:-?[0-9]{1,9}){0,15}")
-_FIGURE_BOUNDS = {"width": (1, 8), "via": (-1, 65535), "again": (0, 1)}
+_ATTRIBUTES = re.compile(r"[a-z]{1,16}:-?[0-9]{1,9}(;[a-z]{1,16}:-?[0-9]{1,9}){0,15}")
+_ATTRIBUTE_BOUNDS = {"width": (1, 8), "via": (-1, 65535), "again": (0, 1)}
 Release = tuple[str, int]  # call and cause
 
 
 class Callers:
-    """Listens for callers and spreads what is to be told to them."""
+    """Accepts callers' connections, closes them, and chooses the connection for each release."""
 
     def __init__(self, exchange: Exchange, clock: Clock, counters: Counters, config: Config) -> None:
-        """Listen to nobody yet."""
+        """Start without a listening socket."""
         self.exchange = exchange
         self.counters = counters
         self.stopping = False
-        self.yielded = False  # another process accepts in place of this one
-        self.previous_process_connections = 0  # connections of the other process of an upgrade
-        self.forward_release: Callable[[str, int], bool] = (
-            lambda call, cause: False
-        )  # who else can tell a release
+        self.yielded = False  # the next process accepts connections in place of this one
+        self.previous_process_connections = 0  # connections that the previous process still holds
+        # Passes a release to the next process; returns False if there is none.
+        self.forward_release: Callable[[str, int], bool] = lambda call, cause: False
         self.listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
-        self._drained_since = math.inf
-        self._yielded_since = math.inf
-        self._looks = False
+        self._drained_since_ms = math.inf
+        self._yielded_since_ms = math.inf
+        self._checks_emptying = False
         self._clock = clock
-        self._rules = OfferRules(config)
-        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.most_width)}
+        self._set_up_rules = OfferRules(config)
+        self._attribute_bounds = {**_ATTRIBUTE_BOUNDS, "width": (1, config.most_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
         self.max_connections = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
         self._connections: dict[CallerConnection, None] = {}
-        self._talkers: OrderedDict[CallerConnection, None] = (
-            OrderedDict()
-        )  # the last to bring a set-up is last
-        self._unsent: deque[Release] = deque(maxlen=RELEASES_KEPT)
+        # Connections that can carry releases, in the order of use: the last one is tried first.
+        self._release_targets: OrderedDict[CallerConnection, None] = OrderedDict()
+        self._unsent_releases: deque[Release] = deque(maxlen=MAX_UNSENT_RELEASES)
 
     def now_ms(self) -> float:
-        """The time."""
+        """The time of the exchange's clock."""
         return self._clock.now_ms()
 
     @property
     def is_in_service(self) -> bool:
-        """Is the front to send new callers here?"""
+        """May new callers be sent to this address?"""
         return not self.drained and (self.yielded or not self.stopping)
 
     @property
     def drained(self) -> bool:
         """Has an operator asked for a drain?"""
-        return self._drained_since < math.inf
+        return self._drained_since_ms < math.inf
 
     @property
     def connections(self) -> int:
-        """How many are held."""
+        """The number of open connections."""
         return len(self._connections)
 
     @property
-    def emptied_ms(self) -> float:
-        """For how long connections have been emptied; below 0 where they are not."""
-        return self._clock.now_ms() - min(self._drained_since, self._yielded_since)
+    def emptying_ms(self) -> float:
+        """For how long this softswitch has been emptied; negative if it is not."""
+        return self._clock.now_ms() - min(self._drained_since_ms, self._yielded_since_ms)
 
     @property
     def is_refusing(self) -> bool:
-        """Has a drain or an upgrade gone on for so long that set-ups are refused?"""
-        return self.emptied_ms > EMPTY_FOR_MS
+        """Has a drain or an upgrade lasted so long that set-ups are refused?"""
+        return self.emptying_ms > REFUSE_AFTER_MS
 
     def drain(self) -> None:
-        """Fail tests, and let go of each connection once nothing is under way on it; may be repeated."""
-        self._drained_since = min(self._drained_since, self._clock.now_ms())
-        self._empty()
+        """Answer tests in the negative and close each connection once it is idle; may be repeated."""
+        self._drained_since_ms = min(self._drained_since_ms, self._clock.now_ms())
+        self._start_emptying()
 
     def activate(self) -> None:
-        """Take work again; may be repeated."""
-        self._drained_since = math.inf
+        """End a drain; may be repeated."""
+        self._drained_since_ms = math.inf
 
     def stop_accepting(self) -> None:
-        """Another process accepts from now on: stop, and let go of what is here."""
+        """The next process accepts from now on: stop accepting, and close each connection once it is idle."""
         if not self.yielded and self._accepting is not None:
             self._accepting.kill()
-            self.yielded, self._yielded_since = True, self._clock.now_ms()
-            self._empty()
+            self.yielded, self._yielded_since_ms = True, self._clock.now_ms()
+            self._start_emptying()
 
     def resume_accepting(self) -> None:
-        """The other process is gone: accept again."""
-        self.yielded, self._yielded_since = False, math.inf
+        """The next process is gone: accept connections again."""
+        self.yielded, self._yielded_since_ms = False, math.inf
         if self.listener is not None:
             self._accepting = gevent.spawn(self._accept, self.listener)
 
     @property
     def is_idle(self) -> bool:
-        """Is nothing under way on any connection, and nothing left to read or write?"""
+        """Is no set-up unanswered or partly read on any connection, and nothing left to read or write?"""
         return not any(caller.is_busy for caller in self._connections)
 
     def close(self) -> None:
-        """Take no connection any more and close all: the process is about to end."""
+        """Stop accepting and close all connections: the process is about to end."""
         if self._accepting is not None:
             self._accepting.kill()
         if self.listener is not None:
@@ -135,47 +133,47 @@
         for caller in list(self._connections):
             caller.connection.close("stopped")
 
-    def _empty(self) -> None:
-        if not self._looks:
-            self._looks = True
-            self._look()
+    def _start_emptying(self) -> None:
+        if not self._checks_emptying:
+            self._checks_emptying = True
+            self._check_emptying()
 
-    def _look(self) -> None:
-        self._looks = self.drained or self.yielded
-        if self._looks:
-            now, emptied = self._clock.now_ms(), self.emptied_ms
-            kept = self._keep()
+    def _check_emptying(self) -> None:
+        self._checks_emptying = self.drained or self.yielded
+        if self._checks_emptying:
+            now, emptying_ms = self._clock.now_ms(), self.emptying_ms
+            kept = self._needed_for_releases()
             for caller in list(self._connections):
                 if caller not in kept:
-                    caller.retire(now, emptied)
-            self.exchange.after_ms(EMPTY_LOOK_MS, self._look)
+                    caller.close_if_idle(now, emptying_ms)
+            self.exchange.after_ms(EMPTYING_CHECK_MS, self._check_emptying)
 
-    def _keep(self) -> set[CallerConnection]:
-        """Guards against releases of standing calls that have no connection to be told on.
+    def _needed_for_releases(self) -> set[CallerConnection]:
+        """The connections that a drain keeps open so that established calls can be released on them.
 
-        A connection stays until all that it brought is over: what carries no call is idle. For calls whose
-        own connection is gone, the last that dealt with a call stays."""
+        A connection stays until all calls that it brought have ended; callers see one without calls as idle.
+        If the connections of all established calls are gone, the last that carried a call message stays."""
         if not self.drained or self.yielded or not self.exchange.standing_calls:
-            return set()  # or the other process has them
+            return set()  # at an upgrade the next process has the calls
         brought = set(self.exchange.callers_of_standing())
         kept = {caller for caller in self._connections if caller in brought}
-        return kept or set(islice(reversed(self._talkers), 1))
+        return kept or set(islice(reversed(self._release_targets), 1))
 
     def listen(self, address: Address) -> Address:
-        """Open the listening socket, take connections from now on, and return where."""
+        """Open the listening socket, accept connections from now on, and return its address."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Guards against a new version that can't start beside one whose handover does not answer.
+        # Lets a new version start beside a process that does not answer the hand-over.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         return self.accept_on(sock)
 
     def accept_on(self, sock: socket.socket) -> Address:
-        """Take connections from a listening socket from now on, and return where it listens."""
+        """Accept connections on a listening socket from now on, and return its address."""
         self.listener = sock
         self._accepting = gevent.spawn(self._accept, sock)
-        self._watch()
+        self._close_silent()
         host, port = sock.getsockname()
         return host, port
 
@@ -188,25 +186,25 @@
                 caller.connection.start()
             else:
                 sock.close()
-            if number % ACCEPTS_A_TURN == 0:
-                # Guards against hundreds of new connections that keep all others from their turn.
+            if number % ACCEPTS_PER_TURN == 0:
+                # Guards against hundreds of new connections that keep the other greenlets from running.
                 gevent.sleep(0)
 
     def _make_room(self) -> bool:
-        """Guards against running out of descriptors; where all have set-ups under way there is no room."""
+        """Guards against running out of descriptors; returns False if no connection can be closed."""
         if len(self._connections) < self.max_connections - self.previous_process_connections:
             return True
         now = self.now_ms()
-        kept = set(islice(reversed(self._talkers), TALKERS_KEPT))
+        kept = set(islice(reversed(self._release_targets), RELEASE_TARGETS_KEPT))
         ranked = [
             (rank, number, caller)
             for number, caller in enumerate(self._connections)
-            if caller not in kept and (rank := caller.expendable(now)) is not None
+            if caller not in kept and (rank := caller.eviction_rank(now)) is not None
         ]
         closed = 0
-        # Guards against a crowd that all have something to read: to ask each of them costs too much.
-        for (kind, _), _, caller in sorted(ranked)[:MOST_LOOKS]:
-            if closed >= max(EVICTED_SHARE * self.max_connections, 1) or (closed and kind > 1):
+        # Checking each of a crowd of connections that all have unread bytes would cost too much.
+        for (group, _), _, caller in sorted(ranked)[:MAX_EVICTION_CHECKS]:
+            if closed >= max(EVICTED_SHARE * self.max_connections, 1) or (closed and group > 1):
                 break
             if not caller.connection.busy:
                 closed += 1
@@ -216,78 +214,77 @@
             note(logging.WARNING, "caller_connections_full", most=self.max_connections)
         return closed > 0
 
-    def _watch(self) -> None:
-        """Called now and then: close what says nothing."""
+    def _close_silent(self) -> None:
+        """Close silent connections; runs periodically."""
         now = self.now_ms()
         for caller in list(self._connections):
-            if reason := caller.idle_reason(now):
+            if reason := caller.close_reason(now):
                 self.counters.add("caller_connections_closed")
                 caller.connection.close(reason)
-        self.exchange.after_ms(WATCH_MS, self._watch)
+        self.exchange.after_ms(TIMEOUT_CHECK_MS, self._close_silent)
 
-    def talked(self, caller: CallerConnection) -> None:
-        """It brought a set-up, or dealt with a release; releases without a connection of their own go there.
+    def add_release_target(self, caller: CallerConnection) -> None:
+        """Let this connection, which carried a call message, carry releases of calls whose own one ended.
 
-        Guards against telling a front's test what it does not understand, or a caller that never speaks."""
-        self._talkers[caller] = None
-        self._talkers.move_to_end(caller)
-        while self._unsent and not caller.connection.closed:
-            caller.release(*self._unsent.popleft(), self.now_ms())
+        Guards against releases on connections that only send tests, or nothing, and don't understand them."""
+        self._release_targets[caller] = None
+        self._release_targets.move_to_end(caller)
+        while self._unsent_releases and not caller.connection.closed:
+            caller.release(*self._unsent_releases.popleft(), self.now_ms())
 
-    def is_talker(self, caller: CallerConnection) -> bool:
-        """Has it brought a set-up?"""
-        return caller in self._talkers
+    def is_release_target(self, caller: CallerConnection) -> bool:
+        """Has this connection carried a call message?"""
+        return caller in self._release_targets
 
     def read_offer(self, message: Message) -> Offer | None:
-        """The set-up in a message, or None where it lacks what a set-up needs."""
-        told = message.text(Code.ATTRIBUTES, absent="")
-        if told is None or (told and not _FIGURES.fullmatch(told)):
+        """Read the set-up in a message; None if it is invalid."""
+        text = message.text(Code.ATTRIBUTES, absent="")
+        if text is None or (text and not _ATTRIBUTES.fullmatch(text)):
             return None
-        figures = {
-            key: int(value) for key, _, value in (pair.partition(":") for pair in told.split(";") if pair)
+        attributes = {
+            key: int(value) for key, _, value in (pair.partition(":") for pair in text.split(";") if pair)
         }
-        for key, (least, most) in self._figure_bounds.items():
-            if not least <= figures.get(key, least) <= most:
+        for key, (low, high) in self._attribute_bounds.items():
+            if not low <= attributes.get(key, low) <= high:
                 return None
         patience = message.text(Code.PATIENCE_MS) or ""
-        return self._rules.offer(
+        return self._set_up_rules.offer(
             call=message.call,
             class_name=message.text(Code.CLASS),
             tenant_name=message.text(Code.TENANT, absent=""),
             number=message.text(Code.NUMBER) or "",
             description=message.parameters.get(Code.DESCRIPTION, b""),
             patience_ms=float(patience) if _MILLISECONDS.fullmatch(patience) else 0.0,
-            first_choice=figures.get("dest", -1),
-            was_cut=figures.get("again") == 1,
+            first_choice=attributes.get("dest", -1),
+            was_cut=attributes.get("again") == 1,
         )
 
-    # --- exchange.CallerSide
     def release(self, call: str, cause: int, caller: Caller | None) -> None:
-        """Tell the caller that brought the call, else any other, else the next one that connects."""
+        """Release on the connection that brought the call, else on another, else on the next with calls."""
         self.counters.add("releases_out")
         self._release(call, cause, self._clock.now_ms(), caller)
 
     def _release(self, call: str, cause: int, since_ms: float, caller: Caller | None) -> None:
-        """`since_ms` stays that of the first sending, so that it is not sent again for ever."""
+        """Send a release; `since_ms` is when it was first sent, so that resending ends."""
         if isinstance(caller, CallerConnection) and not caller.connection.closed:
             chosen: CallerConnection | None = caller
         else:
-            # Guards against connections that never brought a call: nobody may be listening there.
-            chosen = next(reversed(self._talkers), None)
+            # Not on a connection that never carried a call: nothing may read releases from it.
+            chosen = next(reversed(self._release_targets), None)
         if chosen is None:
             if not self.forward_release(call, cause):
-                self._unsent.append((call, cause))
+                self._unsent_releases.append((call, cause))
         else:
             chosen.release(call, cause, since_ms)
 
-    def forget(self, caller: CallerConnection) -> None:
-        """A connection has ended."""
+    def remove(self, caller: CallerConnection) -> None:
+        """Remove a connection that has ended."""
         self._connections.pop(caller, None)
-        self._talkers.pop(caller, None)
+        self._release_targets.pop(caller, None)
 
-    def again(self, unheard: OrderedDict[str, tuple[int, float]]) -> None:
-        """Guards against a release that was written to a connection which then broke."""
-        since = self._clock.now_ms() - UNHEARD_MS
-        for call, (cause, sent_ms) in unheard.items():
-            if sent_ms >= since:
+    def resend_releases(self, unconfirmed: OrderedDict[str, tuple[int, float]]) -> None:
+        """Resend recent releases whose connection ended before they were confirmed."""
+        oldest_ms = self._clock.now_ms() - RELEASE_RESEND_MS
+        for call, (cause, sent_ms) in unconfirmed.items():
+            if sent_ms >= oldest_ms:
                 self._release(call, cause, sent_ms, None)
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -1,4 +1,4 @@
-"""One caller: its connection, what is open on it, and when it may go."""
+"""One caller's connection: its unanswered set-ups, its unconfirmed releases, and when it may be closed."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 if TYPE_CHECKING:
     from pearloom.binary.callers import Callers
 
-READ_BYTES = 8 * 1024  # from one caller a turn: at most some hundred set-ups, 20 ms of work
-MOST_OPEN_EACH = 256  # set-ups that one connection may have open
-SILENT_MS = 2500.0  # in which a connection, or a message that has begun, owes a whole message; some take 2 s
-STALLED_MS = 700.0  # half a message on which nothing has come for so long may make room for others
-NEWCOMER_MS = 300.0  # so long a new connection that says nothing goes only where nothing else can
-UNUSED_MS = 5000.0  # a connection that never brought a set-up is closed after so long without a message
-UNHEARD_MS = 5000.0  # a release whose connection ends within this time, unconfirmed, is sent again
-FRESH_MS = 1000.0  # when emptied: how long a new connection that has said nothing is kept
-EMPTY_INSIDE_MS = 2800.0  # and later nobody may still be sending one
+READ_BYTES = 8 * 1024  # per read of one connection: some hundred set-ups at most, 20 ms of work
+MAX_UNANSWERED = 256  # set-ups on one connection
+MESSAGE_TIMEOUT_MS = 2500.0  # for the first message, and the rest of a partial one; some callers take 2 s
+STALLED_MESSAGE_MS = 700.0  # without a byte of a partial message, after which its connection may be evicted
+NEW_CONNECTION_MS = 300.0  # age up to which a connection without a message is the last to be evicted
+UNUSED_TIMEOUT_MS = 5000.0  # without a message, after which a connection that never had a set-up is closed
+RELEASE_RESEND_MS = 5000.0  # a release is sent again if its connection ends unconfirmed within this time
+EMPTYING_NEW_MS = 1000.0  # while emptying: age up to which a connection without a message is kept
+EMPTYING_PARTIAL_MS = 2800.0  # of emptying, after which no connection is kept for a partial message
 
 
 class _OutboundAnswer(OutboundMessage):
-    """An answer that says that a call stands."""
+    """The answer to a set-up: the call is established."""
 
     __slots__ = ()
 
@@ -40,101 +40,109 @@
 class CallerConnection:
     """One connection from a caller."""
 
-    def __init__(self, side: Callers, sock: socket.socket, now_ms: float) -> None:
+    def __init__(self, callers: Callers, sock: socket.socket, now_ms: float) -> None:
         """Take an accepted connection."""
-        self._side = side
+        self._callers = callers
         self._decoder = isup.Decoder()
-        self._peer_ended = False
+        self._has_peer_eof = False
         self._opened_ms = now_ms
-        self.heard_ms = now_ms  # when the last whole message came
-        self.spoke = False  # has any come?
-        self._byte_ms = math.inf  # when the last byte came
-        self._inside_ms = math.inf  # since when one has begun and is not whole
-        self.open: set[str] = set()  # set-ups that are owed an answer on this connection
-        self.unheard: OrderedDict[str, tuple[int, float]] = OrderedDict()  # releases sent: cause, when
-        self.connection = Connection(sock, self._data, self._ended, self._closed, READ_BYTES)
-
-    # --- exchange.Caller
+        self.last_message_ms = now_ms  # the connection's start until the first whole message
+        self.has_received_message = False
+        self._last_byte_ms = math.inf
+        self._partial_since_ms = math.inf  # when the message began that is still incomplete
+        self.unanswered: set[str] = set()  # calls whose set-ups are to be answered on this connection
+        self.unconfirmed: OrderedDict[str, tuple[int, float]] = OrderedDict()  # releases: cause, time sent
+        self.connection = Connection(sock, self._on_data, self._on_peer_eof, self._on_closed, READ_BYTES)
+
     @property
     def is_there(self) -> bool:
         """Is the caller's side of the connection open?"""
         return not self.connection.peer_ended
 
     def stands(self, call: str, description: bytes) -> None:
-        """Pass the answer on."""
-        self.open.discard(call)
+        """Answer the set-up with the server's description."""
+        self.unanswered.discard(call)
         message = Message(Type.ANSWER, call, {Code.DESCRIPTION: description})
         self._send(_OutboundAnswer(isup.encode(message), call))
 
     def refused(self, call: str, stay_away_ms: float) -> None:
-        """Turn the set-up away."""
-        self.open.discard(call)
+        """Refuse the set-up; `stay_away_ms` above 0 asks the caller to wait before it tries again."""
+        self.unanswered.discard(call)
         parameters = {int(Code.CAUSE): bytes([Cause.CONGESTION])}
         if stay_away_ms > 0:
             parameters[Code.STAY_AWAY_MS] = str(round(stay_away_ms)).encode("ascii")
         self._send(OutboundMessage(isup.encode(Message(Type.RELEASE, call, parameters)), call))
 
     def failed(self, call: str) -> None:
-        """Say that the set-up failed."""
-        self.open.discard(call)
+        """Fail the set-up."""
+        self.unanswered.discard(call)
         self._send_release(call, Cause.TEMPORARY_FAILURE)
 
     def media(self, call: str, media: Media) -> None:
-        """Signalling alone goes here: what is said in a call reaches the caller as its description says."""
-        self._side.counters.add("media_dropped")
+        """Drop the media: this protocol is for signalling; media go to the address in the description."""
+        self._callers.counters.add("media_dropped")
 
-    # --- the rest
     def release(self, call: str, cause: int, since_ms: float) -> None:
-        """A call that stood is over, and its caller has been told since then, if not on this connection."""
-        self.unheard[call] = (cause, since_ms)
-        while next(iter(self.unheard.values()))[1] < since_ms - UNHEARD_MS:
-            self.unheard.popitem(last=False)
+        """Release an established call; `since_ms`: when its release was first sent, on any connection."""
+        self.unconfirmed[call] = (cause, since_ms)
+        while next(iter(self.unconfirmed.values()))[1] < since_ms - RELEASE_RESEND_MS:
+            self.unconfirmed.popitem(last=False)
         self._send_release(call, cause)
 
     @property
     def is_busy(self) -> bool:
-        """Is a set-up open or half read, or anything left to read or write?"""
-        return bool(self.open) or self._decoder.inside or self.connection.busy
+        """Is a set-up unanswered or partly read, or are there bytes left to read or write?"""
+        return bool(self.unanswered) or self._decoder.has_partial_message or self.connection.busy
 
-    def idle_reason(self, now_ms: float) -> str:
-        """Why this connection may be closed, or nothing.
+    def close_reason(self, now_ms: float) -> str:
+        """Why this connection is to be closed, or an empty string.
 
-        Guards against descriptors that silent callers use up. Callers close connections that carry no call
-        themselves after 4 s; one with a set-up open, or with bytes that are still to be read, stays."""
-        if self.open or self._peer_ended:
+        Guards against silent callers that use up the descriptors. Callers themselves close connections that
+        carry no call after 4 s; one with an unanswered set-up, or with bytes still to be read, stays open."""
+        if self.unanswered or self._has_peer_eof:
             return ""
-        if now_ms - (self._inside_ms if self.spoke else self._opened_ms) > SILENT_MS and self._decoder.inside:
+        if (
+            now_ms - (self._partial_since_ms if self.has_received_message else self._opened_ms)
+            > MESSAGE_TIMEOUT_MS
+            and self._decoder.has_partial_message
+        ):
             return "no whole message"
-        still = now_ms - self.heard_ms
-        if still > (UNUSED_MS if self.spoke else SILENT_MS) and not self._side.is_talker(self):
+        silent_ms = now_ms - self.last_message_ms
+        if silent_ms > (
+            UNUSED_TIMEOUT_MS if self.has_received_message else MESSAGE_TIMEOUT_MS
+        ) and not self._callers.is_release_target(self):
             return "" if self.connection.busy else "unused"
         return ""
 
-    def expendable(self, now_ms: float) -> tuple[int, float] | None:
-        """How soon this connection is closed to make room for another, the least first; None: never.
+    def eviction_rank(self, now_ms: float) -> tuple[int, float] | None:
+        """The order in which connections are closed to make room, the lowest first; None: never.
 
         Guards against closing the slow instead of the silent: a caller that takes seconds to write its set-up
-        stays for as long as any other has asked and stays, says nothing, or carries no set-up."""
-        if self.open or self._peer_ended:
+        keeps its connection while there is any that sent a test, says nothing, or carries no set-up."""
+        if self.unanswered or self._has_peer_eof:
             return None
-        if self._decoder.inside:
-            return (3, self._byte_ms) if now_ms - self._byte_ms > STALLED_MS else None
-        if self._side.is_talker(self):
-            return 2, self.heard_ms
-        if self.spoke:
-            return 0, self.heard_ms
-        return (1 if now_ms - self._opened_ms > NEWCOMER_MS else 4), self._opened_ms
-
-    def retire(self, now_ms: float, emptied_ms: float) -> None:
-        """Close this connection if nothing is under way on it; `emptied_ms`: for how long none is wanted.
-
-        Guards against losing a set-up that has arrived or begun: such a connection stays until it is
-        answered, and a new one has time to speak."""
-        fresh = not self.spoke and now_ms - self._opened_ms < FRESH_MS
-        late = emptied_ms > EMPTY_INSIDE_MS
-        if self.open or (not late and (fresh or self._decoder.inside)) or self.connection.busy:
+        if self._decoder.has_partial_message:
+            return (3, self._last_byte_ms) if now_ms - self._last_byte_ms > STALLED_MESSAGE_MS else None
+        if self._callers.is_release_target(self):
+            return 2, self.last_message_ms
+        if self.has_received_message:
+            return 0, self.last_message_ms
+        return (1 if now_ms - self._opened_ms > NEW_CONNECTION_MS else 4), self._opened_ms
+
+    def close_if_idle(self, now_ms: float, emptying_ms: float) -> None:
+        """Close this connection unless something is in progress on it; `emptying_ms`: since emptying began.
+
+        Guards against losing a set-up that has arrived, whole or in part: its connection stays until it is
+        answered, and a new connection has time for its first message."""
+        is_new = not self.has_received_message and now_ms - self._opened_ms < EMPTYING_NEW_MS
+        is_late = emptying_ms > EMPTYING_PARTIAL_MS
+        if (
+            self.unanswered
+            or (not is_late and (is_new or self._decoder.has_partial_message))
+            or self.connection.busy
+        ):
             return
-        self._side.counters.add("caller_connections_emptied")
+        self._callers.counters.add("caller_connections_emptied")
         self.connection.close("emptied")
 
     def _send_release(self, call: str, cause: int) -> None:
@@ -143,36 +151,36 @@
 
     def _send(self, outbound: OutboundMessage) -> None:
         if self.connection.closed:
-            self._undelivered(outbound)
+            self._on_undelivered(outbound)
             return
         self.connection.send(outbound)
-        if self._peer_ended and not self.open:
+        if self._has_peer_eof and not self.unanswered:
             self.connection.finish()
 
-    def _undelivered(self, outbound: OutboundMessage) -> None:
-        """Guards against a call that stands at a server while its caller never hears of it."""
+    def _on_undelivered(self, outbound: OutboundMessage) -> None:
+        """Guards against a call that stays established at a server although its caller got no answer."""
         if isinstance(outbound, _OutboundAnswer):
-            self._side.exchange.left(outbound.call, Cause.TEMPORARY_FAILURE)
+            self._callers.exchange.left(outbound.call, Cause.TEMPORARY_FAILURE)
 
-    def _data(self, data: bytes) -> None:
-        self._byte_ms = self._side.now_ms()
+    def _on_data(self, data: bytes) -> None:
+        self._last_byte_ms = self._callers.now_ms()
         for message in self._decoder.feed(data):
-            self.heard_ms, self.spoke = self._side.now_ms(), True
+            self.last_message_ms, self.has_received_message = self._callers.now_ms(), True
             if not isinstance(message, Malformed):
-                self._message(message)
+                self._on_message(message)
             elif message.fatal:
-                self._malformed(message)
-                self._expel()
-            elif not self._malformed(message).is_open(message.call):
-                # Guards against a caller that waits for a word on what could not be read.
+                self._on_malformed(message)
+                self._fail_and_close()
+            elif not self._on_malformed(message).is_open(message.call):
+                # Guards against a caller that waits in vain for the answer to a malformed set-up.
                 self._send_release(message.call, Cause.INVALID_SET_UP)
-        if not self._decoder.inside:
-            self._inside_ms = math.inf
-        elif self._inside_ms == math.inf:
-            self._inside_ms = self._side.now_ms()
+        if not self._decoder.has_partial_message:
+            self._partial_since_ms = math.inf
+        elif self._partial_since_ms == math.inf:
+            self._partial_since_ms = self._callers.now_ms()
 
-    def _malformed(self, message: Malformed) -> Exchange:
-        self._side.counters.add("malformed_from_callers")
+    def _on_malformed(self, message: Malformed) -> Exchange:
+        self._callers.counters.add("malformed_from_callers")
         note(
             logging.WARNING,
             "caller_malformed",
@@ -180,88 +188,88 @@
             call=message.call,
             closed=message.fatal,
         )
-        return self._side.exchange
+        return self._callers.exchange
 
-    def _expel(self) -> None:
-        """Nothing more can be read here: answer what is open, then close."""
-        for call in list(self.open):
-            self._side.exchange.spoil(call)
+    def _fail_and_close(self) -> None:
+        """Fail all unanswered set-ups and close: the rest of the stream can't be decoded."""
+        for call in list(self.unanswered):
+            self._callers.exchange.spoil(call)
             self.failed(call)
         self.connection.finish()
 
-    def _message(self, message: Message) -> None:
+    def _on_message(self, message: Message) -> None:
         match message.type:
             case Type.SET_UP:
-                self._set_up(message)
+                self._on_set_up(message)
             case Type.RELEASE:
-                self._side.talked(self)
+                self._callers.add_release_target(self)
                 cause = message.cause
-                self.open.discard(message.call)
-                self._side.exchange.left(message.call, Cause.NORMAL if cause is None else cause)
+                self.unanswered.discard(message.call)
+                self._callers.exchange.left(message.call, Cause.NORMAL if cause is None else cause)
                 self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_COMPLETE, message.call))))
             case Type.RELEASE_COMPLETE:
-                self._side.talked(self)
-                self._side.counters.add("releases_heard")
-                self.unheard.pop(message.call, None)
+                self._callers.add_release_target(self)
+                self._callers.counters.add("releases_heard")
+                self.unconfirmed.pop(message.call, None)
             case Type.TEST:
-                cause = 1 if self._side.is_in_service else 0
-                reply = Message(Type.TESTED, message.call, {Code.CAUSE: bytes([cause])})
+                cause = 1 if self._callers.is_in_service else 0
+                reply = Message(Type.TEST_REPLY, message.call, {Code.CAUSE: bytes([cause])})
                 self._send(OutboundMessage(isup.encode(reply)))
-            case Type.PROGRESS | Type.GROUP_STATE | Type.TESTED:
+            case Type.PROGRESS | Type.GROUP_STATE | Type.TEST_REPLY:
                 pass
             case _:
-                self._side.counters.add("malformed_from_callers")
+                self._callers.counters.add("malformed_from_callers")
                 note(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
-                if not self._side.exchange.is_open(message.call):
+                if not self._callers.exchange.is_open(message.call):
                     self._send_release(message.call, Cause.UNKNOWN_TYPE)
 
-    def _set_up(self, message: Message) -> None:
-        exchange = self._side.exchange
+    def _on_set_up(self, message: Message) -> None:
+        exchange = self._callers.exchange
         if message.call in exchange.open_elsewhere:
-            # Guards against a second attempt of a set-up that the process before this one still has open.
-            self._side.counters.add("open_elsewhere")
+            # Guards against a second attempt at a set-up that the previous process has not answered yet.
+            self._callers.counters.add("open_elsewhere")
             self.refused(message.call, exchange.stay_away_ms)
             return
         if exchange.is_open(message.call) or exchange.is_over(message.call):
-            # Guards against an answer or a release that would be taken for that of another set-up.
-            self._side.counters.add("bad_set_ups")
+            # Guards against an answer or a release that could be taken for that of another set-up.
+            self._callers.counters.add("bad_set_ups")
             note(logging.WARNING, "caller_duplicate", call=message.call)
-            if message.call in self.open:
-                # Neither of the two can be told from the other: none may be served.
+            if message.call in self.unanswered:
+                # Two set-ups under one id can't be told apart in answers, so both fail.
                 exchange.spoil(message.call)
-                self.open.discard(message.call)
+                self.unanswered.discard(message.call)
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
-        offer = self._side.read_offer(message)
+        offer = self._callers.read_offer(message)
         if offer is None:
             note(logging.WARNING, "caller_bad_set_up", call=message.call)
-            self._side.counters.add("bad_set_ups")
+            self._callers.counters.add("bad_set_ups")
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
-        self._side.talked(self)
-        if len(self.open) >= MOST_OPEN_EACH or self._side.is_refusing:
-            # Guards against one connection that takes what all callers share, and against one that is never
-            # without a set-up and so would outlive a drain.
+        self._callers.add_release_target(self)
+        if len(self.unanswered) >= MAX_UNANSWERED or self._callers.is_refusing:
+            # Guards against one connection that uses up what all callers share, and against one that always
+            # has an unanswered set-up and so would outlast a drain.
             exchange.refuse(offer, self)
             return
-        self.open.add(message.call)
+        self.unanswered.add(message.call)
         exchange.offered(offer, self)
 
-    def _ended(self) -> None:
-        # Guards against losing set-ups of a caller that closed its sending half alone: they are answered.
-        self._peer_ended = True
-        for call in list(self.open):
-            self._side.exchange.caller_ended(call)
-        if not self.open:
+    def _on_peer_eof(self) -> None:
+        # Set-ups of a caller that closed only its sending half are still answered.
+        self._has_peer_eof = True
+        for call in list(self.unanswered):
+            self._callers.exchange.caller_ended(call)
+        if not self.unanswered:
             self.connection.finish()
 
-    def _closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
-        if self.open or unsent:
-            note(logging.INFO, "caller_closed", reason=reason, open=len(self.open), unsent=len(unsent))
-        self._side.forget(self)
-        for call in list(self.open):
-            self._side.exchange.left(call, Cause.NORMAL)
-        self.open.clear()
+    def _on_closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
+        if self.unanswered or unsent:
+            note(logging.INFO, "caller_closed", reason=reason, open=len(self.unanswered), unsent=len(unsent))
+        self._callers.remove(self)
+        for call in list(self.unanswered):
+            self._callers.exchange.left(call, Cause.NORMAL)
+        self.unanswered.clear()
         for outbound in unsent:
-            self._undelivered(outbound)
-        self._side.again(self.unheard)
+            self._on_undelivered(outbound)
+        self._callers.resend_releases(self.unconfirmed)
--- a/pearloom/binary/isup.py
+++ b/pearloom/binary/isup.py
@@ -1,6 +1,6 @@
-"""Codec of the binary messages that callers and softswitches exchange: bytes in, values out.
+"""Codec of the binary, ISUP-like messages that callers and softswitches exchange; it does no I/O.
 
-message   = length:2 type:1 call:8 parameters      length counts all that follows it; big-endian
+message   = length:2 type:1 call:8 parameters      length counts the bytes after itself; big-endian
 parameter = code:1 length:2 value
 """
 
@@ -13,15 +13,15 @@
 
 from pearloom.core.errors import Malformed
 
-MOST_BYTES = 16 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024
 _LENGTH = struct.Struct(">H")
 _HEAD = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
-_LEAST_LENGTH = 9  # type and call
+_MIN_LENGTH = 9  # a message without parameters: type and call
 
 
 class Type(IntEnum):
-    """Message types, by their usual names."""
+    """Message types; the comments give their ISUP abbreviations."""
 
     SET_UP = 1  # IAM
     PROGRESS = 6  # ACM, CPG
@@ -30,11 +30,11 @@
     RELEASE_COMPLETE = 16  # RLC
     GROUP_STATE = 43
     TEST = 52
-    TESTED = 53
+    TEST_REPLY = 53
 
 
 class Code(IntEnum):
-    """Parameter codes."""
+    """Codes of message parameters."""
 
     CLASS = 3
     PATIENCE_MS = 6
@@ -58,14 +58,14 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message; where a parameter came twice, the last one counts."""
+    """One message; of a parameter that is repeated, the last value is kept."""
 
     type: int
     call: str
     parameters: Mapping[int, bytes] = field(default_factory=dict)
 
     def text(self, code: Code, absent: str | None = None) -> str | None:
-        """A text parameter, `absent` where it is not there, None where it is not ASCII."""
+        """Return a text parameter: `absent` if the message lacks it, None if its value is not ASCII."""
         value = self.parameters.get(code)
         if value is None:
             return absent
@@ -73,62 +73,62 @@
 
     @property
     def cause(self) -> int | None:
-        """The cause, where one byte of it came."""
+        """The release cause, or None unless the parameter is exactly one byte."""
         value = self.parameters.get(Code.CAUSE, b"")
         return value[0] if len(value) == 1 else None
 
 
 def encode(message: Message) -> bytes:
-    """The message's bytes."""
+    """Encode a message."""
     parameters = b"".join(
         _PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items()
     )
-    return _HEAD.pack(_LEAST_LENGTH + len(parameters), message.type, bytes.fromhex(message.call)) + parameters
+    return _HEAD.pack(_MIN_LENGTH + len(parameters), message.type, bytes.fromhex(message.call)) + parameters
 
 
 class Decoder:
-    """Cuts a byte stream into messages, however the bytes are split over reads."""
+    """Decodes a byte stream into messages; the result doesn't depend on how reads split the stream."""
 
     def __init__(self) -> None:
-        """Start between two messages."""
+        """Start at a message boundary."""
         self._buffer = bytearray()
 
     @property
-    def inside(self) -> bool:
-        """Has a message begun that is not whole yet?"""
+    def has_partial_message(self) -> bool:
+        """Are there bytes of a message that is still incomplete?"""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message | Malformed]:
-        """Take bytes and return what they complete; nothing follows a fatal value."""
+        """Add bytes and return the messages that they complete; a fatal `Malformed` is the last item."""
         self._buffer += data
-        found: list[Message | Malformed] = []
-        at = 0
-        while len(self._buffer) - at >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(self._buffer, at)
-            if not _LEAST_LENGTH <= length <= MOST_BYTES - _LENGTH.size:
-                # Guards against reading on after a length that cannot be: the next boundary is unknown.
-                found.append(Malformed(f"length {length}", fatal=True))
+        messages: list[Message | Malformed] = []
+        offset = 0
+        while len(self._buffer) - offset >= _LENGTH.size:
+            (length,) = _LENGTH.unpack_from(self._buffer, offset)
+            if not _MIN_LENGTH <= length <= MAX_MESSAGE_BYTES - _LENGTH.size:
+                # After an impossible length the start of the next message is unknown.
+                messages.append(Malformed(f"message length {length}", fatal=True))
                 break
-            end = at + _LENGTH.size + length
+            end = offset + _LENGTH.size + length
             if len(self._buffer) < end:
                 break
-            found.append(_message(bytes(self._buffer[at:end])))
-            at = end
-        del self._buffer[:at]
-        return found
+            messages.append(_decode_message(bytes(self._buffer[offset:end])))
+            offset = end
+        del self._buffer[:offset]
+        return messages
 
 
-def _message(frame: bytes) -> Message | Malformed:
-    _, kind, call = _HEAD.unpack_from(frame)
+def _decode_message(frame: bytes) -> Message | Malformed:
+    _, message_type, call = _HEAD.unpack_from(frame)
     parameters: dict[int, bytes] = {}
-    at = _HEAD.size
-    while at < len(frame):
-        if len(frame) - at < _PARAMETER.size:
+    offset = _HEAD.size
+    while offset < len(frame):
+        if len(frame) - offset < _PARAMETER.size:
             return Malformed("a parameter is cut short", fatal=False, call=call.hex())
-        code, length = _PARAMETER.unpack_from(frame, at)
-        at += _PARAMETER.size
-        if len(frame) - at < length:
+        code, length = _PARAMETER.unpack_from(frame, offset)
+        offset += _PARAMETER.size
+        if len(frame) - offset < length:
             return Malformed(f"parameter {code} is longer than its message", fatal=False, call=call.hex())
-        parameters[code] = frame[at : at + length]
-        at += length
-    return Message(kind, call.hex(), parameters)
+        parameters[code] = frame[offset : offset + length]
+        offset += length
+    return Message(message_type, call.hex(), parameters)
