--- a/benchmarks/guards/calls.py
+++ b/benchmarks/guards/calls.py
@@ -29,7 +29,7 @@
     Guard("descriptors are left for others than servers", "sip/trunk.py", "not self._links or self._side.may_open_another", "True", (SERVER,)),
     Guard("callers' connections are bounded", "binary/callers.py", "if len(self._connections) < self.max_connections - self.previous_process_connections:", "if True:", (PROCESS,)),
     Guard("a whole frame is owed", "servers/coordinator.py", '    with gevent.Timeout(FRAME_TIMEOUT_S, TimeoutError("no whole frame")):\n', "    if True:\n", (LIST,)),
-    Guard("an older event changes nothing", "servers/coordinator.py", "update.index > self.index:", "True:", (LIST,)),
+    Guard("an older event changes nothing", "servers/coordinator.py", "event.index > self.index:", "True:", (LIST,)),
     Guard("after standing still, read first", "__main__.py", "if late_ms > READ_FIRST_MS:", "if False:", (STILL,)),
     Guard("SIGTERM before anything is taken", "__main__.py", "    signal.signal(signal.SIGTERM, _end_at_once)  # until there is something to answer\n", "", (PROCESS,)),
     Guard("half a set-up is awaited at the end", "__main__.py", " and self.callers.is_idle", "", (PROCESS,)),
--- a/pearloom/servers/__init__.py
+++ b/pearloom/servers/__init__.py
@@ -1,1 +1,1 @@
-"""The session servers' side: which there are, what each speaks, and who tells of changes."""
+"""Session servers: the pool list, one trunk for each server, and the directory of all trunks."""
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -1,6 +1,6 @@
-"""The coordinator's stream of changes to the pool list.
+"""Follows the coordinator's stream of pool list events, and decodes it.
 
-frame  = length:4 number:8 kind:1 payload      length counts all that follows it
+frame  = length:4 number:8 kind:1 payload      length counts the bytes after itself
 record = id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8
 """
 
@@ -22,10 +22,10 @@
 from pearloom.core.logs import crashed, note
 from pearloom.servers.discovery import PoolView
 
-DIAL_S = 1.0
-FRAME_TIMEOUT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
-REDIAL_S = 0.1
-MOST_BYTES = 1 << 20
+CONNECT_TIMEOUT_S = 1.0
+FRAME_TIMEOUT_S = 2.5  # for a whole frame: the coordinator sends a heartbeat each second
+RECONNECT_DELAY_S = 0.1
+MAX_FRAME_BYTES = 1 << 20
 READ_BYTES = 64 * 1024
 _FRAME = struct.Struct(">IQB")
 _LENGTH_BYTES = 4
@@ -36,55 +36,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Nothing new: the stream is alive."""
+    """A frame without an event: the stream is alive."""
 
 
 class Decoder:
-    """Cuts the stream into events, however the bytes are split over reads."""
+    """Decodes the stream into events; the result doesn't depend on how reads split it."""
 
     def __init__(self, zones: Sequence[str] = ()) -> None:
-        """Start between two frames; `zones`: the names in the order of the settings."""
+        """Start at a frame boundary; `zones`: the zones' names in the order of the settings."""
         self._buffer = bytearray()
         self._zones = zones
 
     def feed(self, data: bytes) -> list[ListUpdate | Heartbeat | Malformed]:
-        """Take bytes and return what they complete; nothing follows a fatal value."""
+        """Add bytes and return the events that they complete; a fatal `Malformed` is the last item."""
         self._buffer += data
-        found: list[ListUpdate | Heartbeat | Malformed] = []
+        events: list[ListUpdate | Heartbeat | Malformed] = []
         while len(self._buffer) >= _LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:_LENGTH_BYTES], "big")
-            if not _FRAME.size - _LENGTH_BYTES <= length <= MOST_BYTES:
-                found.append(Malformed(f"frame length {length}", fatal=True))
+            if not _FRAME.size - _LENGTH_BYTES <= length <= MAX_FRAME_BYTES:
+                events.append(Malformed(f"frame length {length}", fatal=True))
                 break
             end = _LENGTH_BYTES + length
             if len(self._buffer) < end:
                 break
-            found.append(_update(bytes(self._buffer[:end]), self._zones))
+            events.append(_decode_frame(bytes(self._buffer[:end]), self._zones))
             del self._buffer[:end]
-        return found
+        return events
 
 
-def _update(frame: bytes, zones: Sequence[str]) -> ListUpdate | Heartbeat | Malformed:
-    _, number, kind = _FRAME.unpack_from(frame)
-    if kind == _HEARTBEAT:
+def _decode_frame(frame: bytes, zones: Sequence[str]) -> ListUpdate | Heartbeat | Malformed:
+    _, index, frame_type = _FRAME.unpack_from(frame)
+    if frame_type == _HEARTBEAT:
         return Heartbeat()
     records = frame[_FRAME.size :]
-    if kind not in (_WHOLE, _CHANGES):
-        return Malformed(f"frame kind {kind}", fatal=False)
+    if frame_type not in (_WHOLE, _CHANGES):
+        return Malformed(f"frame kind {frame_type}", fatal=False)
     if len(records) % _RECORD.size:
-        return Malformed(f"event {number} has {len(records)} bytes of records", fatal=True)
+        return Malformed(f"event {index} has {len(records)} bytes of records", fatal=True)
     servers = []
-    for host, address, port, state, zone, _, cell, _, started in _RECORD.iter_unpack(records):
+    for server_id, address, port, state, zone, _, cell, _, started_ms in _RECORD.iter_unpack(records):
         if state >= len(_STATES):
-            return Malformed(f"event {number} has a server in state {state}", fatal=True)
-        entry = api.PoolEntry(f"s-{host:08x}", cell, _STATES[state], started * 1000)
+            return Malformed(f"event {index} has a server in state {state}", fatal=True)
+        entry = api.PoolEntry(f"s-{server_id:08x}", cell, _STATES[state], started_ms * 1000)
         zone_name = zones[zone] if zone < len(zones) else ""
         servers.append(Server(entry, (str(IPv4Address(address)), port), zone_name))
-    return ListUpdate(number, kind == _WHOLE, tuple(servers))
+    return ListUpdate(index, frame_type == _WHOLE, tuple(servers))
 
 
 def merge_updates(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
-    """The list that the known events add up to."""
+    """Return the servers listed after these events, without those that are gone."""
     servers: dict[str, Server] = {}
     for update in updates:
         if update.whole:
@@ -94,44 +94,44 @@
     return tuple(server for server in servers.values() if server.entry.state is not api.PoolState.GONE)
 
 
-def _next_frames(sock: socket.socket, decoder: Decoder) -> list[ListUpdate | Heartbeat | Malformed]:
-    """Read until at least one frame is whole.
+def _read_events(sock: socket.socket, decoder: Decoder) -> list[ListUpdate | Heartbeat | Malformed]:
+    """Read until at least one frame is complete; raises TimeoutError, or ConnectionError at the stream's end.
 
-    Guards against a stream that falls silent, be it in the middle of a frame or with a byte now and then: a
-    whole frame is owed each second."""
+    Guards against a stream that falls silent, in the middle of a frame or with only a byte now and then: the
+    coordinator sends a whole frame each second."""
     with gevent.Timeout(FRAME_TIMEOUT_S, TimeoutError("no whole frame")):
         while True:
             data = sock.recv(READ_BYTES)
             if not data:
                 raise ConnectionError("closed")
-            if frames := decoder.feed(data):
-                return frames
+            if events := decoder.feed(data):
+                return events
 
 
 class Coordinator:
-    """Follows the stream, over as many connections as it takes."""
+    """Follows the stream of pool list events, and reconnects when a connection ends."""
 
     def __init__(
-        self, address: Address, index: int, listing: PoolView, counters: Counters, zones: Sequence[str]
+        self, address: Address, index: int, pool_view: PoolView, counters: Counters, zones: Sequence[str]
     ) -> None:
-        """Follow from event `index` on; `zones`: their names in the order of the settings."""
+        """Continue after event `index`; `zones`: the zones' names in the order of the settings."""
         self._zones = zones
         self._address = address
-        self.index = index  # of the last event
-        self._listing = listing
+        self.index = index  # of the last event applied
+        self._pool_view = pool_view
         self._counters = counters
         self._sock: socket.socket | None = None
-        self._moved = False  # the connection at hand was closed by a move, not lost
-        self.has_received = False  # has a coordinator told anything, if only that there is nothing new?
+        self._moved = False  # the connection was closed by `move`, not lost
+        self.has_received = False  # has any frame come, if only a heartbeat?
 
     def start(self) -> None:
-        """Follow from now on."""
+        """Start to follow the stream."""
         gevent.spawn(self._follow)
 
     def move(self, address: Address) -> None:
-        """Follow another address with the number of the last event; the old one tells nothing more.
+        """Continue the stream at another address, after the last event applied.
 
-        Guards against waiting for the old connection to end, which it does seconds later."""
+        Closes the old connection, which would end only seconds later."""
         self._address = address
         if self._sock is not None:
             self._moved = True
@@ -140,47 +140,47 @@
     def _follow(self) -> None:
         while True:
             try:
-                self._connection()
-            except OSError as trouble:
+                self._follow_connection()
+            except OSError as error:
                 if not self._moved:
-                    note(logging.WARNING, "coordinator_lost", index=self.index, reason=str(trouble))
+                    note(logging.WARNING, "coordinator_lost", index=self.index, reason=str(error))
             except Exception:
                 crashed("coordinator_failed", index=self.index)
             if self._moved:
-                # Guards against taking a move for a loss: it is no warning, and the new address is asked at
-                # once, not after the pause that spares a coordinator that has just failed.
+                # A move is no loss: there is no warning, and no delay before the next connection, which is
+                # there to spare a coordinator that has just failed.
                 host, port = self._address
                 note(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
             else:
-                gevent.sleep(REDIAL_S)
+                gevent.sleep(RECONNECT_DELAY_S)
 
-    def _connection(self) -> None:
-        """One connection, until it ends; guards against one that stays open and brings nothing more."""
+    def _follow_connection(self) -> None:
+        """Follow one connection until it ends, or brings no frame for too long."""
         self._sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._moved = False
         try:
-            sock.settimeout(DIAL_S)
+            sock.settimeout(CONNECT_TIMEOUT_S)
             sock.connect(self._address)
             sock.sendall(self.index.to_bytes(8, "big"))
             sock.settimeout(None)
             decoder = Decoder(self._zones)
             while True:
-                for update in _next_frames(sock, decoder):
-                    self.apply_event(update)
+                for event in _read_events(sock, decoder):
+                    self.apply_event(event)
         finally:
             sock.close()
 
-    def apply_event(self, update: ListUpdate | Heartbeat | Malformed) -> None:
-        """One event; one that is known already changes nothing."""
+    def apply_event(self, event: ListUpdate | Heartbeat | Malformed) -> None:
+        """Apply one event unless it is old; raises ConnectionError if the stream can't be decoded further."""
         self.has_received = True
-        if isinstance(update, Malformed):
-            note(logging.WARNING, "coordinator_malformed", reason=update.reason)
-            if update.fatal:
+        if isinstance(event, Malformed):
+            note(logging.WARNING, "coordinator_malformed", reason=event.reason)
+            if event.fatal:
                 raise ConnectionError("malformed")
-        elif isinstance(update, ListUpdate) and update.index > self.index:
-            self.index = update.index
+        elif isinstance(event, ListUpdate) and event.index > self.index:
+            self.index = event.index
             self._counters.add("list_events_in")
-            states = ",".join(f"{one.entry.server}:{one.entry.state.value}" for one in update.servers)
-            note(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
-            kind = api.ListKind.COMPLETE if update.whole else api.ListKind.CHANGES
-            self._listing.apply_event(kind, update.servers)
+            states = ",".join(f"{server.entry.server}:{server.entry.state.value}" for server in event.servers)
+            note(logging.INFO, "list", index=event.index, whole=event.whole, servers=states)
+            kind = api.ListKind.COMPLETE if event.whole else api.ListKind.CHANGES
+            self._pool_view.apply_event(kind, event.servers)
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -1,4 +1,4 @@
-"""All session servers: one trunk each, whatever it speaks."""
+"""The directory of session servers: one trunk for each of them, in the protocol that it speaks."""
 
 from __future__ import annotations
 
@@ -14,90 +14,90 @@
 from pearloom.core.sides import Media, SetUp
 from pearloom.interface import PoolState
 
-WATCH_MS = 100.0  # how often trunks are looked at
+WATCH_INTERVAL_MS = 100.0
 SIP, IAX2 = "sip", "iax2"
 
 
 class Trunk(Protocol):
-    """All that concerns one session server, in the protocol that it speaks."""
+    """This softswitch's calls and connections at one session server, in one protocol."""
 
     name: str
     server: Server
 
     @property
     def is_ready(self) -> bool:
-        """May it get new set-ups?"""
+        """May the server get new set-ups?"""
 
     @property
     def is_idle(self) -> bool:
-        """Is it gone, with nothing left to do?"""
+        """Is the server gone, with nothing left to do for it?"""
 
     @property
     def dialling(self) -> bool:
-        """Is a connection under way?"""
+        """Is a connection being opened?"""
 
     @property
     def connections(self) -> int:
-        """How many descriptors it holds."""
+        """The number of connections, open or being opened."""
 
     def dial(self) -> None:
-        """Open a connection, where the protocol has such."""
+        """Open a connection, if the protocol has connections."""
 
     def update(self, server: Server) -> None:
-        """The list says something new of this server."""
+        """Apply the server's new entry in the pool list."""
 
     def set_up(self, set_up: SetUp) -> None:
         """Send an attempt."""
 
     def give_up(self, call: str) -> Progress | None:
-        """End an attempt. Returns how far it had come; None: its end is told to the exchange later."""
+        """End an attempt. Returns how far it got, or None if its end is reported to the exchange later."""
 
     def withdraw_unsent(self) -> None:
-        """End what has not left yet: the server may get no new set-up."""
+        """End attempts of which no byte has been sent: the server may get no new set-up."""
 
     def release(self, call: str, number: str, cause: int) -> None:
-        """Release a standing call."""
+        """Release an established call."""
 
     def media(self, call: str, media: Media) -> None:
-        """Pass on what a caller says."""
+        """Pass a caller's media on."""
 
     def watch(self) -> None:
-        """Called now and then: has a server that owes something fallen silent?"""
+        """Check whether a server that is to answer has fallen silent; runs periodically."""
 
     def finish(self) -> None:
-        """This process is about to end: let go of calls that end with it."""
+        """Release the calls that can't outlive this process, which is about to end."""
 
     def close(self) -> None:
-        """The server is gone and owes nothing."""
+        """Close all connections of a server that is gone."""
 
 
 TrunkFactory = Callable[["Directory", Server], Trunk]
 
 
 class Directory:
-    """All trunks; the exchange's server side."""
+    """Owns the trunks of all session servers; the exchange's server side."""
 
     def __init__(
         self,
         exchange: Exchange,
         clock: Clock,
         counters: Counters,
-        makers: Mapping[str, TrunkFactory],
-        most_connections: int,
+        factories: Mapping[str, TrunkFactory],
+        max_connections: int,
     ) -> None:
-        """Know no server yet; `makers` has what makes a trunk for each protocol.
+        """Start without servers; `factories` makes the trunks, by protocol.
 
-        Beyond `most_connections` in all, a server that has a connection gets no second one."""
-        self._most_connections = most_connections
+        Once all servers together have `max_connections`, only one without a connection gets a new one."""
+        self._most_connections = max_connections
         self.exchange = exchange
         self.clock = clock
         self.counters = counters
-        self._makers = makers
-        self.protocol_of: Callable[[str], str] = lambda server: SIP  # by a server's id, which protocol
+        self._factories = factories
+        self.protocol_of: Callable[[str], str] = lambda server: SIP  # from a server's id
         self._trunks: dict[str, Trunk] = {}
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the periodic checks of all trunks."""
         self._watch()
 
     def _watch(self) -> None:
@@ -109,11 +109,11 @@
                     del self._trunks[trunk.name]
         except Exception:
             crashed("watch_failed")
-        self.exchange.after_ms(WATCH_MS, self._watch)
+        self.exchange.after_ms(WATCH_INTERVAL_MS, self._watch)
 
     @property
     def may_open_another(self) -> bool:
-        """Are there descriptors for more than the first connection to each server?
+        """May a server that has a connection get another one?
 
         Guards against many connections to servers that leave none for coordinator, operators and callers."""
         return sum(trunk.connections for trunk in self._trunks.values()) < self._most_connections
@@ -121,60 +121,59 @@
     def address_taken(self, trunk: Trunk) -> bool:
         """Is a ready server of another id listed at this trunk's address?"""
         return any(
-            other.is_ready and other.server.address == trunk.server.address
-            for other in self._trunks.values()
-            if other is not trunk
+            candidate.is_ready and candidate.server.address == trunk.server.address
+            for candidate in self._trunks.values()
+            if candidate is not trunk
         )
 
-    def _make(self, server: Server) -> Trunk:
+    def _add_trunk(self, server: Server) -> Trunk:
         name = server.entry.server
-        self._trunks[name] = trunk = self._makers[self.protocol_of(name)](self, server)
+        self._trunks[name] = trunk = self._factories[self.protocol_of(name)](self, server)
         return trunk
 
-    # --- exchange.ServerSide
     def listed(self, servers: Sequence[Server], whole: bool) -> None:
-        """Take the list over; each server that is new gets its connection at once."""
-        named = {server.entry.server for server in servers}
+        """Apply a list, or changes to it; a new server is dialled at once."""
+        listed_ids = {server.entry.server for server in servers}
         for server in servers:
             trunk = self._trunks.get(server.entry.server)
             if trunk is not None:
                 trunk.update(server)
             elif server.entry.state is not PoolState.GONE:
-                trunk = self._make(server)
-                # A server also tells on its next connection what became of calls of before a restart.
+                trunk = self._add_trunk(server)
+                # On its next connection a server also reports releases of calls from before a restart.
                 trunk.dial()
         for trunk in list(self._trunks.values()) if whole else ():
-            if trunk.name not in named:
-                trunk.update(gone(trunk.server))
+            if trunk.name not in listed_ids:
+                trunk.update(_with_state_gone(trunk.server))
 
     def listed_servers(self) -> list[Server]:
-        """The list as it is now."""
+        """The servers that are listed now, without those that are gone."""
         servers = [trunk.server for trunk in self._trunks.values()]
         return [server for server in servers if server.entry.state is not PoolState.GONE]
 
     @property
     def has_finished_dialling(self) -> bool:
-        """Has each connection that was asked for come up, or failed?"""
+        """Has each connection that was being opened been established, or failed?"""
         return not any(trunk.dialling for trunk in self._trunks.values())
 
     def dial_servers_with_calls(self) -> None:
-        """Open a further connection to each server where anything stands."""
+        """Open another connection to each server that has established calls."""
         for trunk in self._trunks.values():
             if self.exchange.standing_at(trunk.name):
                 trunk.dial()
 
     def finish(self) -> None:
-        """This process is about to end."""
+        """Let each trunk release the calls that can't outlive this process, which is about to end."""
         for trunk in self._trunks.values():
             trunk.finish()
 
     @property
     def discovered(self) -> int:
-        """How many are in the list."""
+        """The number of listed servers."""
         return len(self.listed_servers())
 
     def withdraw_unsent(self) -> None:
-        """End what has not begun to leave for a server that is not ready."""
+        """End attempts of which no byte has been sent to servers that are not ready."""
         for trunk in list(self._trunks.values()):
             if not trunk.is_ready:
                 trunk.withdraw_unsent()
@@ -183,32 +182,32 @@
         """Send an attempt."""
         trunk = self._trunks.get(server)
         if trunk is None or not trunk.is_ready:
-            # The last guard before a server that drains or is gone.
+            # The last check that a server that drains, or is gone, gets no set-up.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
             self.exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
         else:
             trunk.set_up(set_up)
 
     def give_up(self, server: str, call: str) -> Progress | None:
-        """End an attempt; None: its end is still to come."""
+        """End an attempt. Returns how far it got, or None if its end is reported to the exchange later."""
         trunk = self._trunks.get(server)
         return Progress.NOT_DIALLED if trunk is None else trunk.give_up(call)
 
     def release(self, server: str | None, call: str, number: str, cause: int) -> None:
-        """Release a call; where nobody knows its server, all are told."""
+        """Release a call; if its server is unknown (None), release it at all servers."""
         for trunk in list(self._trunks.values()):
             if server in (None, trunk.name):
                 trunk.release(call, number, cause)
 
     def media(self, server: str, call: str, media: Media) -> None:
-        """Pass on what a caller says."""
+        """Pass a caller's media on."""
         trunk = self._trunks.get(server)
         if trunk is not None:
             trunk.media(call, media)
 
 
-def gone(server: Server) -> Server:
-    """The same server, gone."""
+def _with_state_gone(server: Server) -> Server:
+    """Return a server's entry with the state `GONE`."""
     entry = server.entry
     return Server(
         type(entry)(entry.server, entry.cell, PoolState.GONE, entry.started_us), server.address, server.zone
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The pool list with what is withheld from it for work."""
+"""The pool view: the coordinator's list with withheld servers shown as draining."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 NAMES = ("s-00000001", "s-00000002", "s-00000003")
 
 
-class Told:
-    """What whoever goes by the list was told, in order."""
+class Listener:
+    """Applies the events that a pool view passes on, and counts them."""
 
     def __init__(self) -> None:
         self.states: dict[str, PoolState] = {}
         self.count = 0
-        self.listing = PoolView(self.take)
+        self.view = PoolView(self.apply)
 
-    def take(self, kind: ListKind, servers: Sequence[Server]) -> None:
+    def apply(self, kind: ListKind, servers: Sequence[Server]) -> None:
         self.count += 1
         if kind is not ListKind.CHANGES:
             self.states.clear()
-        self.states |= {one.entry.server: one.entry.state for one in servers}
+        self.states |= {server.entry.server: server.entry.state for server in servers}
 
 
 def server(name: str, state: PoolState = PoolState.READY) -> Server:
     return Server(PoolEntry(name, int(name[-1]), state), ("127.0.0.1", 1))
 
 
-def test_what_is_withheld_drains_and_comes_back() -> None:
-    told = Told()
-    told.listing.apply_event(ListKind.COMPLETE, [server(name) for name in NAMES])
-    told.listing.withhold([NAMES[0], "s-ffffffff"])
-    assert told.states[NAMES[0]] is PoolState.DRAINING and told.states[NAMES[1]] is PoolState.READY
-    told.listing.withhold([NAMES[0]])
-    assert told.count == 2, "nothing changed, so nobody is told"
-    told.listing.withhold([])
-    assert told.states[NAMES[0]] is PoolState.READY
+def test_a_withheld_server_drains_and_becomes_ready_again() -> None:
+    listener = Listener()
+    listener.view.apply_event(ListKind.COMPLETE, [server(name) for name in NAMES])
+    listener.view.withhold([NAMES[0], "s-ffffffff"])
+    assert listener.states[NAMES[0]] is PoolState.DRAINING and listener.states[NAMES[1]] is PoolState.READY
+    listener.view.withhold([NAMES[0]])
+    assert listener.count == 2, "an unchanged list is not passed on"
+    listener.view.withhold([])
+    assert listener.states[NAMES[0]] is PoolState.READY
 
 
-def test_no_event_of_the_list_brings_back_what_is_withheld() -> None:
-    told = Told()
-    told.listing.withhold([NAMES[0]])
+def test_no_event_of_the_list_makes_a_withheld_server_ready() -> None:
+    listener = Listener()
+    listener.view.withhold([NAMES[0]])
     for kind in (ListKind.CACHED, ListKind.CHANGES, ListKind.COMPLETE):
-        told.listing.apply_event(kind, [server(NAMES[0])])
-        assert told.states[NAMES[0]] is PoolState.DRAINING
-    told.listing.apply_event(ListKind.CHANGES, [server(NAMES[0], PoolState.GONE)])
-    assert told.states[NAMES[0]] is PoolState.GONE
-    told.listing.withhold([])
-    assert told.states[NAMES[0]] is PoolState.GONE, "one that is gone does not come back by it"
+        listener.view.apply_event(kind, [server(NAMES[0])])
+        assert listener.states[NAMES[0]] is PoolState.DRAINING
+    listener.view.apply_event(ListKind.CHANGES, [server(NAMES[0], PoolState.GONE)])
+    assert listener.states[NAMES[0]] is PoolState.GONE
+    listener.view.withhold([])
+    assert listener.states[NAMES[0]] is PoolState.GONE, "a server that is gone stays gone"
 
 
 _EVENT = st.one_of(
@@ -66,18 +66,18 @@
 
 
 @given(st.lists(_EVENT, max_size=20))
-def test_nobody_ever_sees_ready_what_is_withheld(
+def test_a_withheld_server_never_appears_ready(
     events: Sequence[frozenset[str] | tuple[ListKind, list[tuple[str, PoolState]]]],
 ) -> None:
-    told = Told()
+    listener = Listener()
     for event in events:
         if isinstance(event, frozenset):
-            told.listing.withhold(event)
+            listener.view.withhold(event)
         else:
             kind, states = event
-            told.listing.apply_event(kind, [server(name, state) for name, state in states])
-        ready = {name for name, state in told.states.items() if state is PoolState.READY}
-        assert not ready & told.listing.withheld
-        assert ready | told.listing.withheld >= {
-            name for name, one in told.listing.listed.items() if one.entry.state is PoolState.READY
+            listener.view.apply_event(kind, [server(name, state) for name, state in states])
+        ready = {name for name, state in listener.states.items() if state is PoolState.READY}
+        assert not ready & listener.view.withheld
+        assert ready | listener.view.withheld >= {
+            name for name, listed in listener.view.listed.items() if listed.entry.state is PoolState.READY
         }
