--- a/pearloom/sip/__init__.py
+++ b/pearloom/sip/__init__.py
@@ -1,1 +1,1 @@
-"""Session servers over SIP: the messages and one trunk a server."""
+"""Session servers over SIP: the codec, the connections to each server and its trunk."""
--- a/pearloom/sip/connecting.py
+++ b/pearloom/sip/connecting.py
@@ -1,4 +1,4 @@
-"""Opens connections to session servers; each way in which that fails is a value."""
+"""Opens connections to session servers; failures are returned as values, not raised."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from pearloom.core.config import Address
 
 
-class DialEnd(Enum):
-    """What a failed dial says of the server."""
+class DialFailureKind(Enum):
+    """What a failed dial shows about the server."""
 
-    REFUSED = "refused"  # its machine answers, and nobody listens there
-    UNANSWERED = "unanswered"  # nothing came back in time
-    NOT_TRIED = "not tried"  # this process has no descriptor left: it says nothing
+    REFUSED = "refused"  # its machine answers, and no process listens
+    UNANSWERED = "unanswered"  # no reply in time
+    NOT_TRIED = "not tried"  # this process has no free descriptor, which shows nothing about the server
 
 
 @dataclass(frozen=True, slots=True)
 class DialFailure:
-    """A connection that did not come up."""
+    """A connection that could not be opened."""
 
-    end: DialEnd
+    kind: DialFailureKind
     reason: str
 
 
 def connect(address: Address, timeout_s: float) -> socket.socket | DialFailure:
-    """Open a TCP connection, waiting for at most `timeout_s`."""
+    """Open a TCP connection, waiting for at most `timeout_s` seconds."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as trouble:
-        return DialFailure(DialEnd.NOT_TRIED, str(trouble))
+    except OSError as error:
+        return DialFailure(DialFailureKind.NOT_TRIED, str(error))
     sock.settimeout(timeout_s)
     try:
         sock.connect(address)
-    except OSError as trouble:
+    except OSError as error:
         sock.close()
-        refused = isinstance(trouble, ConnectionRefusedError)
-        return DialFailure(DialEnd.REFUSED if refused else DialEnd.UNANSWERED, str(trouble))
+        is_refused = isinstance(error, ConnectionRefusedError)
+        return DialFailure(DialFailureKind.REFUSED if is_refused else DialFailureKind.UNANSWERED, str(error))
     sock.settimeout(None)
     return sock
--- a/pearloom/sip/dialling.py
+++ b/pearloom/sip/dialling.py
@@ -1,47 +1,47 @@
-"""When one more connection to a session server is worth its hand-shake. A decision: no I/O, time passed in.
+"""Decides when another connection to a session server is worth its hand-shake. No I/O; time is passed in.
 
-Guards against hand-shakes that are nothing in one softswitch and, over hundreds of them, a price and a load
-that the servers bear: where the settings name a price, a connection is shared by several set-ups, and a
-server that closes what is opened to it is not dialled in a loop. Against that stands what a connection takes
-along when it breaks, so a server's set-ups are spread again for a while after it broke one that carried any.
+One softswitch's hand-shakes cost little, but those of hundreds are a load that the servers bear. If the
+settings put a price on hand-shakes, several set-ups therefore share a connection, and a server that closes
+each new connection is not dialled in a loop. On the other hand, a connection that breaks takes all of its
+set-ups along, so after such a break new set-ups are spread over more connections for a while.
 """
 
 from __future__ import annotations
 
 import math
 
-SPREAD = 1  # set-ups open on each connection from which on another one is opened
-SHARED = 4  # the same where a hand-shake has its price: half a dozen calls a second seldom have more out
-BROKEN_KEPT_MS = 30_000.0  # so long a server that broke a connection under set-ups has them spread
-# Between dials after closes, where they have a price: the release that a closed connection may have taken
-# along is owed to its caller within 1 s, the server sends it again on the next one that is opened, and that
-# one may be reset as well, several times.
-AGAIN_MS = 100.0
+SPREAD_LIMIT = 1  # unanswered set-ups on every connection at which another one is opened
+SHARED_LIMIT = 4  # the same if hand-shakes have a price: 6 calls a second seldom have more set-ups unanswered
+SPREAD_AFTER_BREAK_MS = 30_000.0  # a connection broke with unanswered set-ups: how long they are spread
+# Between dials after closes, if hand-shakes have a price. A release that the closed connection may have lost
+# is due at its caller within 1 s; the server repeats it on the next connection, which may be reset as well,
+# several times.
+REDIAL_INTERVAL_MS = 100.0
 
 
-class Dialling:
-    """What one server's connections have shown, and what follows from it."""
+class DialPolicy:
+    """Decides on further connections to one server, from what happened to the earlier ones."""
 
     def __init__(self, handshake_price: float) -> None:
-        """`handshake_price`: points that the settings take for a new connection a first try; 0 for none."""
-        self._priced = handshake_price > 0
-        self._broke_ms = -math.inf
-        self._due_ms = -math.inf  # when the last dial after a close was due
-
-    def broke(self, now_ms: float) -> None:
-        """A connection ended, or fell mute, with set-ups open on it."""
-        self._broke_ms = now_ms
-
-    def wants_another(self, open_on_best: int, now_ms: float) -> bool:
-        """Is another connection to be opened, where the least used one carries so many set-ups?"""
-        spread = not self._priced or now_ms - self._broke_ms < BROKEN_KEPT_MS
-        return open_on_best >= (SPREAD if spread else SHARED)
-
-    def after_close(self, now_ms: float) -> float | None:
-        """In how many ms to dial after a connection closed beside others; None: a dial waits already."""
-        if not self._priced:
+        """`handshake_price`: points in the settings for a new connection, per first attempt; 0 for none."""
+        self._has_price = handshake_price > 0
+        self._last_break_ms = -math.inf
+        self._last_dial_ms = -math.inf  # when the last dial after a close is due
+
+    def record_break(self, now_ms: float) -> None:
+        """A connection ended, or fell mute, with unanswered set-ups."""
+        self._last_break_ms = now_ms
+
+    def should_dial(self, least_unanswered: int, now_ms: float) -> bool:
+        """Should another connection be opened if the least used one has so many unanswered set-ups?"""
+        is_spread = not self._has_price or now_ms - self._last_break_ms < SPREAD_AFTER_BREAK_MS
+        return least_unanswered >= (SPREAD_LIMIT if is_spread else SHARED_LIMIT)
+
+    def delay_after_close_ms(self, now_ms: float) -> float | None:
+        """The delay of the dial after a connection closed while others are open; None: one is already due."""
+        if not self._has_price:
             return 0.0
-        if self._due_ms > now_ms:
+        if self._last_dial_ms > now_ms:
             return None
-        self._due_ms = max(now_ms, self._due_ms + AGAIN_MS)
-        return self._due_ms - now_ms
+        self._last_dial_ms = max(now_ms, self._last_dial_ms + REDIAL_INTERVAL_MS)
+        return self._last_dial_ms - now_ms
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -1,4 +1,4 @@
-"""One connection to a session server: what came on it, and what its silence means."""
+"""One connection to a session server: its unanswered set-ups, and when it is broken or mute."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 if TYPE_CHECKING:
     from pearloom.sip.trunk import SipTrunk
 
-CUT_SHORT_MS = 300.0  # a message that has begun is whole by then, or never
-MUTE_MS = 1000.0  # a connection that left a set-up unanswered and says nothing for so long is closed
+PARTIAL_MESSAGE_TIMEOUT_MS = 300.0  # for the rest of a partial message
+MUTE_TIMEOUT_MS = 1000.0  # without a message since an unanswered set-up was given up; then it is closed
 
-# How a refusal counts; any other status from 300 on is an error.
+# What a refusal proves, by its status; any other status from 300 on is an error.
 _STATUS_ENDINGS = {
     408: Ending.TIMED_OUT,
     480: Ending.NOT_SENT,
@@ -32,20 +32,20 @@
 
 
 def refusal(status: int, why: str) -> AttemptError:
-    """What a final answer from 300 on says."""
+    """Return the error for a final status from 300 on; `why` is the X-Why header."""
     ending = _STATUS_ENDINGS.get(status, Ending.ERROR)
-    full = ending is Ending.FULL
+    is_full = ending is Ending.FULL
     return AttemptError(
         Progress.ANSWERED,
         f"{status} {why}".strip(),
         ending,
-        processor_full=full and why == "acc",
-        no_line=full and why == "atb",
+        processor_full=is_full and why == "acc",
+        no_line=is_full and why == "atb",
     )
 
 
 class OutboundSetUp(OutboundMessage):
-    """An INVITE; on its way or waiting for its answer."""
+    """An INVITE that is being sent, or waits for its answer."""
 
     __slots__ = ("_may_leave", "_on_written", "link", "sent_ms", "set_up")
 
@@ -56,20 +56,20 @@
         may_leave: Callable[[OutboundSetUp], bool],
         on_written: Callable[[], None],
     ) -> None:
-        """`may_leave` is asked before its first byte leaves, `on_written` called once its last one has."""
+        """`may_leave` is called before the first byte is sent, `on_written` after the last one."""
         super().__init__(data, set_up.offer.call)
         self.set_up = set_up
         self.link: Link | None = None
-        self.sent_ms = 0.0  # when it was given to its connection
+        self.sent_ms = 0.0  # when it was queued at its connection
         self._may_leave = may_leave
         self._on_written = on_written
 
     def may_leave(self) -> bool:
-        """Is the call still there, and its caller?"""
+        """Is the attempt still wanted?"""
         return self._may_leave(self)
 
     def written(self) -> None:
-        """Its last byte has left."""
+        """Report that the last byte was sent."""
         self._on_written()
 
 
@@ -77,54 +77,54 @@
     """One connection to a session server."""
 
     def __init__(self, trunk: SipTrunk, sock: socket.socket, now_ms: float) -> None:
-        """Take a connection that has come up."""
+        """Take an established connection."""
         self._trunk = trunk
         self._decoder = sip.Decoder()
-        self._inside_ms = math.inf  # since when a message has begun and is not whole
-        self.opened_ms = self.heard_ms = self.used_ms = now_ms
-        self.ended = False  # the server has closed it, which is not read yet
-        self.mute_ms = math.inf  # since when a set-up was given up on it that it never said a word after
-        self.open: dict[str, OutboundSetUp] = {}
-        self.connection = Connection(sock, self._data, self._ended, self._closed)
+        self._partial_since_ms = math.inf  # when the message began that is still incomplete
+        self.opened_ms = self.last_message_ms = self.last_used_ms = now_ms
+        self.has_ended = False  # the server closed it, and the end is not read yet
+        self.mute_since_ms = math.inf  # when a set-up was given up after which no message came
+        self.unanswered: dict[str, OutboundSetUp] = {}
+        self.connection = Connection(sock, self._on_data, self._on_ended, self._on_closed)
 
     def send(self, outbound: OutboundMessage) -> None:
         """Queue a message."""
-        self.used_ms = self._trunk.now_ms
+        self.last_used_ms = self._trunk.now_ms
         self.connection.send(outbound)
 
-    def heard(self, now_ms: float) -> None:
-        """A message came."""
-        self.heard_ms = self.used_ms = now_ms
+    def record_message(self, now_ms: float) -> None:
+        """A message came on this connection."""
+        self.last_message_ms = self.last_used_ms = now_ms
 
     def watch(self, now_ms: float) -> None:
-        """Guards against answers that break off or never end, and connections that nothing comes of."""
-        if now_ms - self._inside_ms > CUT_SHORT_MS:
-            self._malformed(Malformed("cut short", fatal=True))
-        elif now_ms - self.mute_ms > MUTE_MS and not self.open:
+        """Close this connection if a message stays incomplete, or if it is mute; called periodically."""
+        if now_ms - self._partial_since_ms > PARTIAL_MESSAGE_TIMEOUT_MS:
+            self._on_malformed(Malformed("cut short", fatal=True))
+        elif now_ms - self.mute_since_ms > MUTE_TIMEOUT_MS and not self.unanswered:
             self.connection.close("mute")
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         for message in self._decoder.feed(data):
             if isinstance(message, Malformed):
-                self._malformed(message)
+                self._on_malformed(message)
                 return
             if isinstance(message, sip.Response) and message.is_answer and not message.body:
-                self._malformed(Malformed("answer without a description", fatal=True))
+                self._on_malformed(Malformed("answer without a description", fatal=True))
                 return
-            self.mute_ms = math.inf
-            self._trunk.message(self, message)
-        if not self._decoder.inside:
-            self._inside_ms = math.inf
-        elif self._inside_ms == math.inf:
-            self._inside_ms = self._trunk.now_ms
-
-    def _malformed(self, message: Malformed) -> None:
-        # Guards against reading on after noise: whatever else is open here gets no answer any more.
-        self._trunk.malformed(replace(message, fatal=True))
+            self.mute_since_ms = math.inf
+            self._trunk.on_message(self, message)
+        if not self._decoder.has_partial_message:
+            self._partial_since_ms = math.inf
+        elif self._partial_since_ms == math.inf:
+            self._partial_since_ms = self._trunk.now_ms
+
+    def _on_malformed(self, message: Malformed) -> None:
+        # The rest of the stream can't be decoded, so other set-ups on this connection get no answer either.
+        self._trunk.on_malformed(replace(message, fatal=True))
         self.connection.close("malformed")
 
-    def _ended(self) -> None:
+    def _on_ended(self) -> None:
         self.connection.close("closed by server")
 
-    def _closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
-        self._trunk.link_closed(self, reason, unsent)
+    def _on_closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
+        self._trunk.on_link_closed(self, reason, unsent)
--- a/pearloom/sip/liveness.py
+++ b/pearloom/sip/liveness.py
@@ -1,51 +1,51 @@
-"""When a silent session server is taken for dead. A decision: no I/O, time passed in.
+"""Decides when a silent session server is considered dead. No I/O; time is passed in.
 
-Guards against calls that stand for ever at a machine that vanished: its connections stay open and say
-nothing, and new ones never come up.
+Guards against calls that stay established for ever at a machine that vanished: its connections stay open
+without a message, and new ones are never established.
 """
 
 from __future__ import annotations
 
-QUIET_MS = 2500.0  # a server that owes something and is silent for so long gets a new connection
-DEAD_DIALS = 2  # dials in a row that never came up: with LOST_MS, what stands there is given up
-# A machine that is cut off keeps its calls, and the end of those of a dead one is owed within 8 s: as late as
-# that allows, with 0.75 s for a dial.
-LOST_MS = 6500.0
+SILENT_MS = 2500.0  # of silence while a message is due, after which a new connection is opened
+DEAD_DIALS = 2  # failed dials in a row that, with DEAD_AFTER_MS, end the server's calls
+# Of silence. The calls of a dead machine have to be released within 8 s, but a machine that is only cut off
+# keeps its calls: this is as late as the 8 s allow, with 0.75 s for a dial.
+DEAD_AFTER_MS = 6500.0
 
 
 class Liveness:
-    """What one server's silence means."""
+    """Tracks one server's silence and the failed dials to it."""
 
     def __init__(self, now_ms: float) -> None:
-        """It has just been heard of, and owes nothing."""
-        self._heard_ms = now_ms
-        self._owing_ms = now_ms
+        """Start as if a message had just come, with none due."""
+        self._last_sign_ms = now_ms
+        self._due_since_ms = now_ms
         self._failed_dials = 0
 
-    def heard(self, now_ms: float) -> None:
-        """A sign of life came."""
-        self._heard_ms = now_ms
+    def record_sign_of_life(self, now_ms: float) -> None:
+        """A message, or another sign of life, came from the server."""
+        self._last_sign_ms = now_ms
 
-    def owes_from(self, now_ms: float) -> None:
-        """It owed nothing before this time, and does now."""
-        self._owing_ms = now_ms
+    def expect_message(self, now_ms: float) -> None:
+        """From this time on a message is due; none was before."""
+        self._due_since_ms = now_ms
 
-    def dial_failed(self) -> None:
-        """A connection to it did not come up."""
+    def record_failed_dial(self) -> None:
+        """A connection could not be opened."""
         self._failed_dials += 1
 
-    def dial_came_up(self, now_ms: float) -> None:
-        """A connection came up: its machine is there."""
+    def record_dial(self, now_ms: float) -> None:
+        """A connection was established: the server's machine is running."""
         self._failed_dials = 0
-        self._heard_ms = now_ms
+        self._last_sign_ms = now_ms
 
-    def is_quiet(self, now_ms: float) -> bool:
-        """Has it owed something for long and said nothing?"""
-        return self._quiet_ms(now_ms) >= QUIET_MS
+    def is_silent(self, now_ms: float) -> bool:
+        """Has the server been silent for long while a message is due?"""
+        return self._silence_ms(now_ms) >= SILENT_MS
 
     def is_dead(self, now_ms: float) -> bool:
-        """Is what stands there to be given up?"""
-        return self._failed_dials >= DEAD_DIALS and self._quiet_ms(now_ms) >= LOST_MS
+        """Is the server dead, so that its established calls are to be released?"""
+        return self._failed_dials >= DEAD_DIALS and self._silence_ms(now_ms) >= DEAD_AFTER_MS
 
-    def _quiet_ms(self, now_ms: float) -> float:
-        return now_ms - max(self._heard_ms, self._owing_ms)
+    def _silence_ms(self, now_ms: float) -> float:
+        return now_ms - max(self._last_sign_ms, self._due_since_ms)
--- a/pearloom/sip/requests.py
+++ b/pearloom/sip/requests.py
@@ -1,35 +1,35 @@
-"""The SIP requests that a softswitch sends of a call."""
+"""The SIP requests that a softswitch sends for a call."""
 
 from __future__ import annotations
 
 from pearloom.core.sides import SetUp
 from pearloom.sip.codec import encode_request
 
-BYE_SEQUENCE = 2  # CSeq; it need not be above the INVITE's, as the method tells the two apart
+BYE_SEQUENCE = 2  # CSeq; it need not exceed the INVITE's, as CSeq names the method too
 
 
 def sequence_of(set_up: SetUp) -> int:
-    """The CSeq of an attempt's INVITE, counted from 1."""
+    """Return the CSeq number of an attempt's INVITE, counted from 1."""
     return set_up.attempt + 1
 
 
 def invite(set_up: SetUp) -> bytes:
-    """An attempt; what the caller brought goes on unchanged."""
+    """Encode an attempt's INVITE; the caller's description is passed on unchanged."""
     offer = set_up.offer
     headers = {"X-Call-Class": offer.class_name, "X-Ring-Limit": str(max(int(set_up.ring_ms), 1))}
     return encode_request("INVITE", offer.number, offer.call, sequence_of(set_up), headers, offer.description)
 
 
 def cancel(set_up: SetUp) -> bytes:
-    """The attempt is given up."""
+    """Encode the CANCEL of an attempt."""
     return encode_request("CANCEL", set_up.offer.number, set_up.offer.call, sequence_of(set_up), {})
 
 
 def ack(call: str, number: str, sequence: int) -> bytes:
-    """The final answer to the INVITE of this CSeq has come."""
+    """Encode the ACK of the final answer to the INVITE with this CSeq."""
     return encode_request("ACK", number, call, sequence, {})
 
 
 def bye(call: str, number: str, cause: int) -> bytes:
-    """A call that stands is released."""
+    """Encode the BYE that releases an established call with a Q.850 cause."""
     return encode_request("BYE", number, call, BYE_SEQUENCE, {"Reason": f"Q.850;cause={cause}"})
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -1,4 +1,4 @@
-"""One session server over SIP: its connections, and what their silence means."""
+"""One session server over SIP: its set-ups, releases and connections, and when it is considered lost."""
 
 from __future__ import annotations
 
@@ -18,139 +18,137 @@
 from pearloom.settings import read_report
 from pearloom.sip import codec as sip
 from pearloom.sip import requests
-from pearloom.sip.connecting import DialEnd, DialFailure, connect
-from pearloom.sip.dialling import Dialling
+from pearloom.sip.connecting import DialFailure, DialFailureKind, connect
+from pearloom.sip.dialling import DialPolicy
 from pearloom.sip.link import Link, OutboundSetUp, refusal
 from pearloom.sip.links import Links
-from pearloom.sip.liveness import QUIET_MS, Liveness
+from pearloom.sip.liveness import SILENT_MS, Liveness
 from pearloom.sip.requests import sequence_of
 
-MUTE_FROM_MS = 100.0  # a set-up given up later than this, with no word on its connection since, tells of it
-REDIAL_MS = 250.0  # pause between dials while calls stand at a server
-BYE_KEPT_MS = 5000.0  # a BYE whose connection ends within this time, unanswered, is sent again
-GIVEN_UP_KEPT_MS = 20_000.0  # a set-up given up whose last answer may still come
+MUTE_FROM_MS = 100.0  # a set-up given up after this time with no message since makes its connection mute
+REDIAL_DELAY_MS = 250.0  # after a failed dial to a server that has calls
+BYE_RESEND_MS = 5000.0  # a BYE is sent again if its connection ends unanswered within this time
+GIVEN_UP_KEPT_MS = 20_000.0  # for which the final answer to a set-up that was given up may still come
 
 
 class SipTrunk:
-    """All that concerns one session server, by its id."""
+    """This softswitch's calls and connections at one session server over SIP."""
 
     def __init__(
         self,
-        side: Directory,
+        directory: Directory,
         server: Server,
         dial_timeout_ms: float,
         idle_ms: float,
         handshake_price: float,
     ) -> None:
-        """Know the server; not connected yet. `idle_ms`: after which it closes an idle connection."""
-        self._hand_shakes = Dialling(handshake_price)
-        self._side = side
-        self._exchange = side.exchange
+        """Start without connections. `idle_ms`: after which the server closes an idle connection."""
+        self._dial_policy = DialPolicy(handshake_price)
+        self._directory = directory
+        self._exchange = directory.exchange
         self._dial_timeout_s = dial_timeout_ms / 1000.0
         self.name = server.entry.server
         self.server = server
         self._links = Links(idle_ms)
-        self._dead = False  # while its connections are closed since it is dead
+        self._is_lost = False  # while connections are closed because the server is lost
         self.dialling = False
         self._waiting: list[OutboundMessage] = []
         self._set_ups: dict[str, OutboundSetUp] = {}
-        self._given_up = Kept[tuple[str, int]](GIVEN_UP_KEPT_MS)  # call: number, CSeq
-        self._byes = Kept[OutboundMessage](BYE_KEPT_MS)
-        self._liveness = Liveness(side.clock.now_ms())
+        self._given_up = Kept[tuple[str, int]](GIVEN_UP_KEPT_MS)  # number, CSeq by call
+        self._byes = Kept[OutboundMessage](BYE_RESEND_MS)
+        self._liveness = Liveness(directory.clock.now_ms())
 
     @property
     def is_ready(self) -> bool:
-        """May it get new set-ups?"""
+        """May the server get new set-ups?"""
         return self.server.entry.state is PoolState.READY
 
     @property
-    def _owing(self) -> bool:
-        """Is anything to come from it?"""
+    def _expects_message(self) -> bool:
+        """Is an answer or a release due from the server?"""
         return bool(self._set_ups) or self._exchange.standing_at(self.name) > 0
 
     @property
     def is_idle(self) -> bool:
-        """Is it gone, with nothing left to do?"""
-        busy = self._owing or self.dialling or self._waiting
-        return self.server.entry.state is PoolState.GONE and not busy
+        """Is the server gone, with nothing left to do for it?"""
+        is_busy = self._expects_message or self.dialling or self._waiting
+        return self.server.entry.state is PoolState.GONE and not is_busy
 
     @property
     def connections(self) -> int:
-        """How many it holds, the one under way included."""
+        """The number of connections, open or being opened."""
         return len(self._links) + self.dialling
 
     @property
     def now_ms(self) -> float:
-        """The time."""
-        return self._side.clock.now_ms()
+        """The time of the exchange's clock."""
+        return self._directory.clock.now_ms()
 
-    # --- what the exchange asks for -------------------------------------------------------------------------
     def set_up(self, set_up: SetUp) -> None:
         """Send an INVITE."""
         outbound = OutboundSetUp(requests.invite(set_up), set_up, self._may_leave, self._exchange.forwarded)
-        if not self._owing:
-            self._liveness.owes_from(self.now_ms)
+        if not self._expects_message:
+            self._liveness.expect_message(self.now_ms)
         self._set_ups[outbound.call] = outbound
         self._send(outbound)
 
     def _may_leave(self, outbound: OutboundSetUp) -> bool:
-        """Asked right before its first byte is written: is its connection open, and its caller there?"""
+        """Called before the first byte is sent: is the connection open, and the attempt still wanted?"""
         link = outbound.link
         if link is not None and link.connection.peer_ended:
-            # Guards against a set-up in doubt since it crossed a close that had come and was not read yet.
-            link.ended = outbound.withdrawn = True
-            self._failed(outbound, AttemptError(Progress.CONNECTING, "closed by server", line_only=True))
+            # Guards against an uncertain attempt: its INVITE would cross a close that is not read yet.
+            link.has_ended = outbound.withdrawn = True
+            self._end_attempt(outbound, AttemptError(Progress.CONNECTING, "closed by server", line_only=True))
             return False
         return self._exchange.may_send(outbound.call, outbound.set_up.attempt)
 
     def give_up(self, call: str) -> Progress:
-        """Forget an INVITE; if any of it has left, a CANCEL follows."""
+        """End an attempt: withdraw its INVITE, or send a CANCEL if any byte of it was sent."""
         outbound = self._set_ups.pop(call, None)
         if outbound is None:
             return Progress.NOT_DIALLED
         if outbound.link is not None:
-            outbound.link.open.pop(call, None)
+            outbound.link.unanswered.pop(call, None)
         if outbound.progress < Progress.PARTLY_SENT:
             outbound.withdrawn = True
         elif outbound.link is not None:
-            self._side.counters.add("cancels_out")
+            self._directory.counters.add("cancels_out")
             now = self.now_ms
             outbound.link.send(OutboundMessage(requests.cancel(outbound.set_up)))
-            if outbound.link.heard_ms <= outbound.sent_ms < now - MUTE_FROM_MS:
-                outbound.link.mute_ms = min(outbound.link.mute_ms, now)
-                self._hand_shakes.broke(now)
+            if outbound.link.last_message_ms <= outbound.sent_ms < now - MUTE_FROM_MS:
+                outbound.link.mute_since_ms = min(outbound.link.mute_since_ms, now)
+                self._dial_policy.record_break(now)
             self._given_up.put(call, (outbound.set_up.offer.number, sequence_of(outbound.set_up)), now)
         return outbound.progress
 
     def withdraw_unsent(self) -> None:
-        """End what has not begun to leave."""
-        for outbound in [one for one in self._set_ups.values() if one.progress < Progress.PARTLY_SENT]:
+        """End attempts of which no byte has been sent."""
+        for outbound in [item for item in self._set_ups.values() if item.progress < Progress.PARTLY_SENT]:
             outbound.withdrawn = True
-            self._failed(outbound, AttemptError(Progress.NOT_DIALLED, "server not ready"))
+            self._end_attempt(outbound, AttemptError(Progress.NOT_DIALLED, "server not ready"))
 
     def release(self, call: str, number: str, cause: int) -> None:
         """Send a BYE."""
-        self._side.counters.add("byes_out")
+        self._directory.counters.add("byes_out")
         outbound = OutboundMessage(requests.bye(call, number, cause), call)
         self._byes.put(call, outbound, self.now_ms)
         self._send(outbound)
 
     def update(self, server: Server) -> None:
-        """The list says something new of this server."""
-        before, self.server = self.server, server
-        if server.entry.started_us > before.entry.started_us:
-            # Guards against calls that stood on the process before this one, of which nothing will come.
+        """Apply the server's new entry in the pool list."""
+        previous, self.server = self.server, server
+        if server.entry.started_us > previous.entry.started_us:
+            # The server process has restarted: its earlier calls ended without a release.
             started_ms = server.entry.started_us / 1000.0
             self._exchange.server_lost(self.name, started_ms, "restarted")
             self._links.close_older(started_ms, "restarted")
         if server.entry.state is PoolState.GONE:
             self.watch()
 
-    # --- connections ----------------------------------------------------------------------------------------
     def _send(self, outbound: OutboundMessage) -> None:
-        """Hand a message to a connection, or keep it until one is up."""
-        best = self._links.best()
-        if best is None or self._hand_shakes.wants_another(len(best.open), self.now_ms):
+        """Queue a message at a connection, or keep it until one is established."""
+        best = self._links.least_used()
+        if best is None or self._dial_policy.should_dial(len(best.unanswered), self.now_ms):
             self._dial_another()
         if best is None and not isinstance(outbound, OutboundSetUp):
             best = self._links.newest()
@@ -159,46 +157,46 @@
             return
         if isinstance(outbound, OutboundSetUp):
             outbound.link, outbound.sent_ms = best, self.now_ms
-            best.open[outbound.call] = outbound
+            best.unanswered[outbound.call] = outbound
         best.send(outbound)
 
     def _dial_another(self) -> None:
-        may_open = not self._links or self._side.may_open_another
+        may_open = not self._links or self._directory.may_open_another
         if may_open and self._links.make_room():
             self.dial()
 
     def media(self, call: str, media: Media) -> None:
-        """Signalling alone goes here: what is said in a call reaches this server as its description says."""
-        self._side.counters.add("media_dropped")
+        """Drop the media: a trunk carries signalling only; media go to the address in the description."""
+        self._directory.counters.add("media_dropped")
 
     def dial(self) -> None:
-        """Open a connection; what waits goes out on it."""
+        """Open a connection, unless one is being opened; waiting messages are sent on it."""
         if not self.dialling:
             self.dialling = True
             gevent.spawn(self._dial)
 
     def _dial(self) -> None:
-        self._side.counters.add("dials")
+        self._directory.counters.add("dials")
         for outbound in self._waiting:
             outbound.progress = Progress.CONNECTING
         address = self.server.address
-        dialled = connect(address, self._dial_timeout_s)
+        result = connect(address, self._dial_timeout_s)
         self.dialling = False
-        if isinstance(dialled, DialFailure):
-            self._dial_failed(dialled)
+        if isinstance(result, DialFailure):
+            self._on_dial_failed(result)
             return
         if address != self.server.address:
-            # Guards against set-ups for a process that has started elsewhere while the old address answered.
-            dialled.close()
+            # Guards against set-ups at the old address of a server that has moved meanwhile.
+            result.close()
             self.dial()
             return
         try:
-            link = Link(self, dialled, self._side.clock.now_ms())
-        except OSError as trouble:  # reset before anything was said
-            dialled.close()
-            self._dial_failed(DialFailure(DialEnd.UNANSWERED, str(trouble)))
+            link = Link(self, result, self._directory.clock.now_ms())
+        except OSError as error:  # reset at once
+            result.close()
+            self._on_dial_failed(DialFailure(DialFailureKind.UNANSWERED, str(error)))
             return
-        self._liveness.dial_came_up(self.now_ms)
+        self._liveness.record_dial(self.now_ms)
         self._links.add(link)
         link.connection.start()
         waiting, self._waiting = self._waiting, []
@@ -206,84 +204,84 @@
             if not outbound.withdrawn:
                 self._send(outbound)
 
-    def _dial_failed(self, failure: DialFailure) -> None:
-        refused = failure.end is DialEnd.REFUSED
-        note(logging.INFO, "dial_failed", server=self.name, refused=refused, reason=failure.reason)
-        if failure.end is not DialEnd.NOT_TRIED:
-            self._liveness.dial_failed()
+    def _on_dial_failed(self, failure: DialFailure) -> None:
+        is_refused = failure.kind is DialFailureKind.REFUSED
+        note(logging.INFO, "dial_failed", server=self.name, refused=is_refused, reason=failure.reason)
+        if failure.kind is not DialFailureKind.NOT_TRIED:
+            self._liveness.record_failed_dial()
         waiting, self._waiting = self._waiting, []
         for outbound in waiting:
             if isinstance(outbound, OutboundSetUp):
                 if not outbound.withdrawn:
-                    self._failed(outbound, AttemptError(Progress.CONNECTING, failure.reason))
+                    self._end_attempt(outbound, AttemptError(Progress.CONNECTING, failure.reason))
             else:
                 self._waiting.append(outbound)
-        if refused and self._links and not self.is_ready:
-            # Guards against cutting calls of a server that drains: it takes no new connection, but those that
-            # are open go on. The refusal is a sign of life of its machine.
-            self._liveness.heard(self.now_ms)
+        if is_refused and self._links and not self.is_ready:
+            # Guards against cutting calls of a draining server: it refuses new connections, but serves those
+            # that are open. The refusal shows that its machine is running.
+            self._liveness.record_sign_of_life(self.now_ms)
             return
-        # With no connection left, a refused one proves that the process is not there; one that never comes up
-        # may be a lost packet, so it takes two, and a silence.
-        if refused and not self._links:
-            self._lost("refused")
+        # If no connection is left, a refused one proves that the process has ended. One that is never
+        # established may be due to a lost packet, so it takes two of them, and a long silence.
+        if is_refused and not self._links:
+            self._on_lost("refused")
         elif self._liveness.is_dead(self.now_ms):
-            self._lost("silent")
+            self._on_lost("silent")
         elif self._exchange.standing_at(self.name) or self._waiting:
-            self._side.exchange.after_ms(REDIAL_MS, self._redial)
+            self._directory.exchange.after_ms(REDIAL_DELAY_MS, self._redial)
 
     def _redial(self) -> None:
         if self._exchange.standing_at(self.name) or self._waiting:
             self.dial()
 
-    def _lost(self, reason: str) -> None:
-        """The server is dead, cut off, or not the one that it was."""
+    def _on_lost(self, reason: str) -> None:
+        """The server is dead, cut off, or replaced: release its calls and close its connections."""
         self._waiting = [outbound for outbound in self._waiting if isinstance(outbound, OutboundSetUp)]
         self._byes.clear()
-        self._exchange.server_lost(self.name, self._side.clock.now_ms() + 1, reason)
-        self._dead = True
+        self._exchange.server_lost(self.name, self._directory.clock.now_ms() + 1, reason)
+        self._is_lost = True
         self._links.close_all(reason)
-        self._dead = False
+        self._is_lost = False
 
     def finish(self) -> None:
-        """Calls here belong to no connection, and outlive this process."""
+        """Do nothing: SIP calls belong to no connection and outlive this process."""
 
     def close(self) -> None:
         """Close all connections of a server that is gone."""
         for link in self._links:
             link.connection.finish()
 
-    def link_closed(self, link: Link, reason: str, unsent: list[OutboundMessage]) -> None:
-        """A connection is over: so are the set-ups on it, but not the calls that stand."""
+    def on_link_closed(self, link: Link, reason: str, unsent: list[OutboundMessage]) -> None:
+        """A connection has ended, and with it its unanswered set-ups, but no established call."""
         self._links.remove(link)
         if reason != "done":
-            # How many set-ups it took along, whether the server ever spoke on it and how old it was: a
-            # server that closes new connections at once shows as many short, silent ones.
-            spoke, age_ms = link.heard_ms > link.opened_ms, round(self.now_ms - link.opened_ms)
+            # `open`: set-ups that ended with it. A server that closes new connections at once shows as many
+            # of these events with spoke=False (no message ever came) and a low age.
+            has_spoken, age_ms = link.last_message_ms > link.opened_ms, round(self.now_ms - link.opened_ms)
             note(
-                logging.INFO, "server_closed", server=self.name, reason=reason, open=len(link.open),
-                spoke=spoke, age_ms=age_ms,
+                logging.INFO, "server_closed", server=self.name, reason=reason, open=len(link.unanswered),
+                spoke=has_spoken, age_ms=age_ms,
             )  # fmt: skip
-        if link.open:
-            self._hand_shakes.broke(self.now_ms)
-        for set_up in list(link.open.values()):
-            self._failed(set_up, AttemptError(set_up.progress, reason, line_only=not self._dead))
-        again = self._byes.young(self.now_ms)
+        if link.unanswered:
+            self._dial_policy.record_break(self.now_ms)
+        for set_up in list(link.unanswered.values()):
+            self._end_attempt(set_up, AttemptError(set_up.progress, reason, line_only=not self._is_lost))
+        resent = self._byes.young(self.now_ms)
         if self._links:
-            for outbound in again:
+            for outbound in resent:
                 self._send(outbound)
-            if self._exchange.standing_at(self.name) and not self._dead:
-                # Guards against a release that was written to the connection that ended: the server sends it
-                # again on the next one that is opened.
-                pause_ms = self._hand_shakes.after_close(self.now_ms)
-                if pause_ms is not None:
-                    self._side.exchange.after_ms(pause_ms, self._dial_after_close)
+            if self._exchange.standing_at(self.name) and not self._is_lost:
+                # A release that the server sent on the ended connection may be lost: the server repeats it on
+                # the next one that is opened.
+                delay_ms = self._dial_policy.delay_after_close_ms(self.now_ms)
+                if delay_ms is not None:
+                    self._directory.exchange.after_ms(delay_ms, self._dial_after_close)
             return
-        self._waiting += [outbound for outbound in again if outbound not in self._waiting]
+        self._waiting += [outbound for outbound in resent if outbound not in self._waiting]
         if self._exchange.standing_at(self.name) or self._waiting:
-            if not self.is_ready and self._side.address_taken(self):
-                # Guards against taking the process that now has this address for the one that had the calls.
-                self._lost("replaced")
+            if not self.is_ready and self._directory.address_taken(self):
+                # The process that now has this address is not the one that had the calls.
+                self._on_lost("replaced")
             else:
                 self.dial()
 
@@ -292,76 +290,75 @@
             self._dial_another()
 
     def watch(self) -> None:
-        """Called now and then: has a server that owes something fallen silent?"""
+        """Check whether the server has fallen silent while a message is due; runs periodically."""
         self._links.watch(self.now_ms)
-        if not self._owing:
+        if not self._expects_message:
             return
         is_gone = self.server.entry.state is PoolState.GONE
-        if is_gone or (not self.is_ready and self._side.address_taken(self)):
-            # Guards against taking the process that now has this address, and talks, for the one that had the
-            # calls: only a connection from before them can still be the old one's.
+        if is_gone or (not self.is_ready and self._directory.address_taken(self)):
+            # Guards against mistaking the process that now has this address, and sends messages, for the one
+            # that had the calls: only a connection opened before a call can still be the old process's.
             self._exchange.server_lost(self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced")
-        if is_gone and self.now_ms - self._links.heard_ms() >= QUIET_MS:
-            self._lost("gone")
-        elif not is_gone and self._liveness.is_quiet(self.now_ms):
-            # Guards against a machine that vanished: its connections stay open and say nothing, and only a
-            # new one, which never comes up, tells it from one whose processor hangs.
-            self._links.spare_one()
+        if is_gone and self.now_ms - self._links.last_message_ms() >= SILENT_MS:
+            self._on_lost("gone")
+        elif not is_gone and self._liveness.is_silent(self.now_ms):
+            # A vanished machine's connections stay open without a message, as do those of one whose processor
+            # hangs; only a new connection, which is never established, tells the two apart.
+            self._links.close_spare()
             self.dial()
 
-    # --- messages -------------------------------------------------------------------------------------------
-    def malformed(self, message: Malformed) -> None:
-        """Something came that is no SIP."""
-        self._side.counters.add("malformed_from_servers")
-        why = {"reason": message.reason, "closed": message.fatal}
-        note(logging.WARNING, "server_malformed", server=self.name, **why)
-
-    def message(self, link: Link, message: sip.Request | sip.Response) -> None:
-        """Take one message."""
-        link.heard(self.now_ms)
-        self._liveness.heard(link.heard_ms)
+    def on_malformed(self, message: Malformed) -> None:
+        """Log and count bytes from the server that are not valid SIP."""
+        self._directory.counters.add("malformed_from_servers")
+        fields = {"reason": message.reason, "closed": message.fatal}
+        note(logging.WARNING, "server_malformed", server=self.name, **fields)
+
+    def on_message(self, link: Link, message: sip.Request | sip.Response) -> None:
+        """Handle one message of the server."""
+        link.record_message(self.now_ms)
+        self._liveness.record_sign_of_life(link.last_message_ms)
         call = sip.call_of(message)
         if "x-circuits" in message.headers:
-            self._report(message.headers["x-circuits"])
+            self._on_report(message.headers["x-circuits"])
         if isinstance(message, sip.Request) and message.method == "OPTIONS":
             link.send(OutboundMessage(sip.encode_response(message, 200, "OK")))
         elif isinstance(message, sip.Request) and message.method == "NOTIFY":
-            pass  # all that it tells is in its X-Circuits, and it wants no answer
+            pass  # its only content is X-Circuits, and it needs no response
         elif call is None:
             note(logging.WARNING, "server_no_call", server=self.name)
         elif isinstance(message, sip.Response):
-            self._response(link, call, message)
+            self._on_response(link, call, message)
         elif message.method == "BYE":
             link.send(OutboundMessage(sip.encode_response(message, 200, "OK")))
             cause = sip.reason_cause(message)
-            self._released(call, CAUSE_NORMAL if cause is None else cause)
+            self._on_released(call, CAUSE_NORMAL if cause is None else cause)
         elif message.method != "ACK":
             note(logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call)
 
-    def _report(self, figures: str) -> None:
-        """Guards against a gate that learns only from refusals how few lines are free."""
+    def _on_report(self, circuits: str) -> None:
+        """Report free lines to the exchange; otherwise a gate learns from refusals alone how few are free."""
         try:
-            report = read_report(figures)
+            report = read_report(circuits)
         except ValueError:
-            self.malformed(Malformed(f"X-Circuits {figures[:60]!r}", fatal=False))
+            self.on_malformed(Malformed(f"X-Circuits {circuits[:60]!r}", fatal=False))
         else:
             self._exchange.reported(self.name, report)
 
-    def _released(self, call: str, cause: int) -> None:
+    def _on_released(self, call: str, cause: int) -> None:
         outbound = self._set_ups.get(call)
         if outbound is not None:
-            self._failed(outbound, AttemptError(Progress.ANSWERED, "released", Ending.RESET))
+            self._end_attempt(outbound, AttemptError(Progress.ANSWERED, "released", Ending.RESET))
         else:
             self._exchange.released(self.name, call, cause)
 
-    def _response(self, link: Link, call: str, response: sip.Response) -> None:
+    def _on_response(self, link: Link, call: str, response: sip.Response) -> None:
         if response.method == "BYE":
             self._byes.pop(call)
         if response.method != "INVITE" or response.status < 200:
             return
         outbound = self._set_ups.get(call)
         if outbound is not None and outbound.link is not link:
-            # Guards against what comes late of an attempt before this one.
+            # A late answer to an earlier attempt of this call.
             note(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
             return
         if outbound is not None:
@@ -371,28 +368,28 @@
         elif self._exchange.is_open(call) or self._exchange.is_over(call):
             number, sequence = "unknown", 1
         else:
-            # Guards against an answer under an id that nobody sent.
-            self._side.counters.add("unknown_from_servers")
+            # An answer to a call that this softswitch does not know.
+            self._directory.counters.add("unknown_from_servers")
             note(logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status)
             return
         link.send(OutboundMessage(requests.ack(call, number, sequence)))
         if response.status >= 300:
             if outbound is not None:
-                self._failed(outbound, refusal(response.status, response.headers.get("x-why", "")))
+                self._end_attempt(outbound, refusal(response.status, response.headers.get("x-why", "")))
             return
         if outbound is not None:
             del self._set_ups[call]
-            link.open.pop(call, None)
+            link.unanswered.pop(call, None)
             outbound.progress = Progress.ANSWERED
             if self._exchange.stands(call, outbound.set_up.attempt, response.body):
                 return
         if not self._exchange.stands_at(self.name, call):
-            # Guards against an answer that crossed a CANCEL: without a BYE the call would stand for nobody.
+            # The answer crossed a CANCEL; without a BYE the call would stay established with no caller.
             self.release(call, number, CAUSE_NORMAL)
 
-    def _failed(self, outbound: OutboundSetUp, error: AttemptError) -> None:
+    def _end_attempt(self, outbound: OutboundSetUp, error: AttemptError) -> None:
         if self._set_ups.get(outbound.call) is outbound:
             del self._set_ups[outbound.call]
             if outbound.link is not None:
-                outbound.link.open.pop(outbound.call, None)
+                outbound.link.unanswered.pop(outbound.call, None)
             self._exchange.attempt_ended(outbound.call, outbound.set_up.attempt, error)
--- a/tests/test_dialling.py
+++ b/tests/test_dialling.py
@@ -1,4 +1,4 @@
-"""When one more connection to a session server is opened: the decision's cells, then the trunk's dials."""
+"""When another connection to a session server is opened: the policy's cases, then the trunk's dials."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 import gevent
 import pytest
 
-from pearloom.sip.dialling import AGAIN_MS, BROKEN_KEPT_MS, SHARED, Dialling
+from pearloom.sip.dialling import REDIAL_INTERVAL_MS, SHARED_LIMIT, SPREAD_AFTER_BREAK_MS, DialPolicy
 from tests.player import SETTINGS, START_MS, Player
 
 
 @pytest.mark.parametrize(
-    ("price", "broke_ms_ago", "open_on_best", "another"),
+    ("price", "broke_ms_ago", "least_unanswered", "should_dial"),
     [
         (0.0, None, 0, False),
         (0.0, None, 1, True),
         (0.08, None, 1, False),
-        (0.08, None, SHARED - 1, False),
-        (0.08, None, SHARED, True),
+        (0.08, None, SHARED_LIMIT - 1, False),
+        (0.08, None, SHARED_LIMIT, True),
         (0.08, 1.0, 1, True),
-        (0.08, BROKEN_KEPT_MS + 1, 1, False),
+        (0.08, SPREAD_AFTER_BREAK_MS + 1, 1, False),
     ],
 )
 def test_set_ups_share_a_connection_where_a_hand_shake_has_a_price(
-    price: float, broke_ms_ago: float | None, open_on_best: int, another: bool
+    price: float, broke_ms_ago: float | None, least_unanswered: int, should_dial: bool
 ) -> None:
-    dialling = Dialling(price)
+    policy = DialPolicy(price)
     if broke_ms_ago is not None:
-        dialling.broke(START_MS - broke_ms_ago)
-    assert dialling.wants_another(open_on_best, START_MS) is another
+        policy.record_break(START_MS - broke_ms_ago)
+    assert policy.should_dial(least_unanswered, START_MS) is should_dial
 
 
-def test_a_server_that_closes_at_once_is_not_dialled_in_a_loop() -> None:
-    dialling, dials = Dialling(0.08), []
+def test_a_server_that_closes_each_connection_at_once_is_not_dialled_in_a_loop() -> None:
+    policy, dials = DialPolicy(0.08), []
     for close_ms in range(0, 1000, 25):
-        pause = dialling.after_close(START_MS + close_ms)
-        if pause is not None:
-            dials.append(close_ms + pause)
-    assert dials[0] == 0, "the first close is followed at once: a release may have gone with it"
-    assert all(later - dial == AGAIN_MS for dial, later in pairwise(dials))
-    assert len(dials) >= 9, "a release, owed within a second, has several connections to come on"
+        delay_ms = policy.delay_after_close_ms(START_MS + close_ms)
+        if delay_ms is not None:
+            dials.append(close_ms + delay_ms)
+    assert dials[0] == 0, "the first close is followed at once: it may have lost a release"
+    assert all(later - dial == REDIAL_INTERVAL_MS for dial, later in pairwise(dials))
+    assert len(dials) >= 9, "a release, due within a second, has several connections to be repeated on"
 
 
 def test_every_close_is_followed_at_once_where_a_hand_shake_has_no_price() -> None:
-    dialling = Dialling(0.0)
-    assert [dialling.after_close(START_MS + close_ms) for close_ms in range(4)] == [0.0] * 4
+    policy = DialPolicy(0.0)
+    assert [policy.delay_after_close_ms(START_MS + close_ms) for close_ms in range(4)] == [0.0] * 4
 
 
 @pytest.mark.parametrize(("price", "shared"), [(0.0, False), (0.08, True)])
