--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Codecs, settings and the clock, without sockets."""
+"""Codecs, errors of attempts, settings and the clock, without sockets."""
 
 from __future__ import annotations
 
@@ -23,48 +23,48 @@
 DECODERS: dict[str, Any] = {"c": isup.Decoder, "s": sip.Decoder, "co": coordinator.Decoder}
 
 
-def sent(kind: str) -> bytes:
-    """All that one kind of peer sends in the recordings of what is well formed."""
-    found = b""
+def recorded_bytes(peer_type: str) -> bytes:
+    """All bytes that one type of peer sends in the well-formed recordings."""
+    data = b""
     for path in RECORDINGS:
-        skipped = any(word in path.stem for word in ("malformed", "long", "half_sent"))
-        for who, verb, rest in [] if skipped else read(path):
-            if verb == ">" and who.rstrip("0123456789") == kind:
-                found += encode(re.sub(r"{a\d}", "7f000001", re.sub(r"{p\d}", "1f90", rest)))
-    return found
+        is_skipped = any(word in path.stem for word in ("malformed", "long", "half_sent"))
+        for peer, verb, rest in [] if is_skipped else read(path):
+            if verb == ">" and peer.rstrip("0123456789") == peer_type:
+                data += encode(re.sub(r"{a\d}", "7f000001", re.sub(r"{p\d}", "1f90", rest)))
+    return data
 
 
-@pytest.mark.parametrize("kind", DECODERS)
-def test_messages_do_not_depend_on_how_reads_are_cut(kind: str) -> None:
-    data = sent(kind)
-    whole = DECODERS[kind]().feed(data)
-    decoder = DECODERS[kind]()
-    assert [one for at in range(len(data)) for one in decoder.feed(data[at : at + 1])] == whole
-    assert len(whole) > 3 and not any(isinstance(one, Malformed) for one in whole)
+@pytest.mark.parametrize("peer_type", DECODERS)
+def test_messages_do_not_depend_on_how_reads_split_the_stream(peer_type: str) -> None:
+    data = recorded_bytes(peer_type)
+    messages = DECODERS[peer_type]().feed(data)
+    decoder = DECODERS[peer_type]()
+    assert [message for at in range(len(data)) for message in decoder.feed(data[at : at + 1])] == messages
+    assert len(messages) > 3 and not any(isinstance(message, Malformed) for message in messages)
 
 
-@pytest.mark.parametrize("kind", DECODERS)
+@pytest.mark.parametrize("peer_type", DECODERS)
 @given(data=st.lists(st.binary(max_size=200), max_size=20))
-def test_no_bytes_raise(kind: str, data: list[bytes]) -> None:
-    decoder = DECODERS[kind]()
+def test_no_bytes_raise_an_exception(peer_type: str, data: list[bytes]) -> None:
+    decoder = DECODERS[peer_type]()
     for part in data:
-        if any(isinstance(one, Malformed) and one.fatal for one in decoder.feed(part)):
+        if any(isinstance(message, Malformed) and message.fatal for message in decoder.feed(part)):
             break
 
 
 @pytest.mark.parametrize("length", ["", "-1", "x", "1e3", "99999"])
-def test_a_length_that_cannot_be_is_fatal(length: str) -> None:
-    found = sip.Decoder().feed(f"SIP/2.0 200 OK\r\nContent-Length: {length}\r\n\r\n".encode())
-    assert isinstance(found[0], Malformed) and found[0].fatal
+def test_an_impossible_content_length_is_fatal(length: str) -> None:
+    messages = sip.Decoder().feed(f"SIP/2.0 200 OK\r\nContent-Length: {length}\r\n\r\n".encode())
+    assert isinstance(messages[0], Malformed) and messages[0].fatal
 
 
-def test_headers_without_end_are_fatal() -> None:
-    found = sip.Decoder().feed(b"SIP/2.0 200 OK\r\n" + b"X: y\r\n" * 3000)
-    assert isinstance(found[0], Malformed) and found[0].fatal
+def test_endless_headers_are_fatal() -> None:
+    messages = sip.Decoder().feed(b"SIP/2.0 200 OK\r\n" + b"X: y\r\n" * 3000)
+    assert isinstance(messages[0], Malformed) and messages[0].fatal
 
 
 @pytest.mark.parametrize(
-    ("status", "why", "ending", "full", "no_line"),
+    ("status", "why", "ending", "processor_full", "no_line"),
     [
         (503, "acc", api.Ending.FULL, True, False),
         (503, "atb", api.Ending.FULL, False, True),
@@ -76,9 +76,11 @@
         (302, "", api.Ending.ERROR, False, False),
     ],
 )
-def test_what_a_refusal_means(status: int, why: str, ending: api.Ending, full: bool, no_line: bool) -> None:
+def test_a_refusal_proves_an_ending(
+    status: int, why: str, ending: api.Ending, processor_full: bool, no_line: bool
+) -> None:
     error = refusal(status, why)
-    assert (error.proves(), error.processor_full, error.no_line) == (ending, full, no_line)
+    assert (error.proves(), error.processor_full, error.no_line) == (ending, processor_full, no_line)
 
 
 @pytest.mark.parametrize(
@@ -90,20 +92,22 @@
         (Progress.SENT, api.Ending.RESET),
     ],
 )
-def test_how_far_it_came_decides_what_is_proved(progress: Progress, ending: api.Ending) -> None:
+def test_without_an_ending_progress_decides_what_an_error_proves(
+    progress: Progress, ending: api.Ending
+) -> None:
     assert AttemptError(progress, "").proves() is ending
 
 
-def test_nested_settings_read_like_those_of_the_adapter() -> None:
+def test_nested_settings_read_like_the_flat_ones_of_the_adapter() -> None:
     params = flatten(SETTINGS)
     assert params["services.1.name"] == "save-answers" and params["limits.mayCancel"] == "true"
     assert params["specifics.skilledPools.count"] == "2" and params["specifics.skilledPools.1"] == "0,1"
     settings = read_settings(params)
-    assert [kind.cells for kind in settings.classes] == [(0, 1, 2), (0, 1)]
+    assert [call_class.cells for call_class in settings.classes] == [(0, 1, 2), (0, 1)]
     assert settings.may_cancel and settings.release_us == 300_000 and settings.fleet_size == 4
 
 
-def test_the_clock_never_runs_backwards() -> None:
+def test_the_clock_never_goes_back() -> None:
     clock = Clock()
     clock.set_ms(2000.5)
     assert clock.now_ms() == 2000.5
--- a/tests/test_dialling.py
+++ b/tests/test_dialling.py
@@ -49,9 +49,9 @@
     assert [policy.delay_after_close_ms(START_MS + close_ms) for close_ms in range(4)] == [0.0] * 4
 
 
-@pytest.mark.parametrize(("price", "shared"), [(0.0, False), (0.08, True)])
+@pytest.mark.parametrize(("price", "is_shared"), [(0.0, False), (0.08, True)])
 def test_the_trunk_dials_as_decided(
-    price: float, shared: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    price: float, is_shared: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(SETTINGS, "prices", {"handshake": price})
     player = Player(tmp_path)
@@ -71,6 +71,6 @@
                 gevent.sleep(0.01)
         gevent.sleep(0.2)
         trunk = player.softswitch.servers._trunks["s-00000001"]
-        assert (len(trunk._links) == 1) is shared  # type: ignore[attr-defined]
+        assert (len(trunk._links) == 1) is is_shared  # type: ignore[attr-defined]
     finally:
         player.close()
