--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -28,7 +28,7 @@
 UNUSED_TIMEOUT_MS = 5000.0  # without a message, after which a connection that never had a set-up is closed
 RELEASE_RESEND_MS = 5000.0  # a release is sent again if its connection ends unconfirmed within this time
 EMPTYING_NEW_MS = 1000.0  # while emptying: age up to which a connection without a message is kept
-EMPTYING_PARTIAL_MS = 2800.0  # of emptying, after which no connection is kept for a partial message
+EMPTYING_PARTIAL_MS = 2800.0  # of emptying; no caller may still be sending a message after it
 
 
 class _OutboundAnswer(OutboundMessage):
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -182,7 +182,7 @@
         """Send an attempt."""
         trunk = self._trunks.get(server)
         if trunk is None or not trunk.is_ready:
-            # The last check that a server that drains, or is gone, gets no set-up.
+            # The last check that a draining server, or one that is gone, gets no set-up.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
             self.exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
         else:
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -138,7 +138,7 @@
         """Apply the server's new entry in the pool list."""
         previous, self.server = self.server, server
         if server.entry.started_us > previous.entry.started_us:
-            # The server process has restarted: its earlier calls ended without a release.
+            # The server process has restarted: no release of its earlier calls will come.
             started_ms = server.entry.started_us / 1000.0
             self._exchange.server_lost(self.name, started_ms, "restarted")
             self._links.close_older(started_ms, "restarted")
