--- a/benchmarks/guards/calls.py
+++ b/benchmarks/guards/calls.py
@@ -14,10 +14,10 @@
 COLD, SETTINGS, BAD = "tests/test_cold_starts.py", "tests/test_generated_settings.py", "tests/test_program.py"
 
 CALLS = (
-    Guard("the caller is there right before the send", "core/exchange.py", "        if not call.caller.is_there:\n            self._turn_away(call)\n            return False\n", "", (CALLER,)),
+    Guard("the caller is there right before the send", "core/exchange.py", "        if not call.caller.is_connected:\n            self._turn_away(call)\n            return False\n", "", (CALLER,)),
     Guard("the time is not over right before the send", "core/exchange.py", "if self._clock.now_ms() >= call.sent_ms + call.timeout_ms:", "if False:", (SERVER,)),
-    Guard("a set-up behind a close is not offered", "core/exchange.py", " or not caller.is_there:", ":", (CALLER,)),
-    Guard("a half-closed caller that waits is refused", "binary/connection.py", "            self._callers.exchange.caller_ended(call)\n", "            pass\n", (CALLER,)),
+    Guard("a set-up behind a close is not offered", "core/exchange.py", " or not caller.is_connected:", ":", (CALLER,)),
+    Guard("a half-closed caller that waits is refused", "binary/connection.py", "            self._callers.exchange.handle_caller_eof(call)\n", "            pass\n", (CALLER,)),
     Guard("a write does not wait with a batch in hand", "core/connection.py", "sent = self._sock.send(data, 0, 0.0)", "sent = self._sock.send(data)", (CALLER,)),
     Guard("a write that is never taken ends", "core/connection.py", 'with gevent.Timeout(WRITE_S, TimeoutError("the peer takes nothing")):', "if True:", (SERVER,)),
     Guard("what came before a close is read", "core/connection.py", "        gevent.sleep(LAST_READ_S)\n", "", (SERVER,)),
@@ -34,8 +34,8 @@
     Guard("SIGTERM before anything is taken", "__main__.py", "    signal.signal(signal.SIGTERM, _end_at_once)  # until there is something to answer\n", "", (PROCESS,)),
     Guard("half a set-up is awaited at the end", "__main__.py", " and self.callers.is_idle", "", (PROCESS,)),
     Guard("nothing is taken on the way out", "__main__.py", "        self.callers.close()\n", "", (PROCESS,)),
-    Guard("a cold server's budget", "policy/cold_start.py", "    return len(pool.sends) < int(budget + pool.turn)", "    return True", (COLD,)),
-    Guard("parts below one are not rounded up", "policy/cold_start.py", "int(budget + pool.turn)", "budget + 1", (COLD,)),
+    Guard("a cold server's budget", "policy/cold_start.py", "    return len(pool.sends) < int(budget + pool.budget_rounding)", "    return True", (COLD,)),
+    Guard("parts below one are not rounded up", "policy/cold_start.py", "int(budget + pool.budget_rounding)", "budget + 1", (COLD,)),
     Guard("the pause after doubt is the settings'", "settings.py", '_integer(params, "specifics.guardUs")', "1000", (SETTINGS,)),
     Guard("attempts are the settings'", "settings.py", '_integer(params, "limits.maxAttempts", 1)', "4", (SETTINGS,)),
     Guard("pools of a class are the settings'", "settings.py", '_cells(params.get(f"specifics.skilledPools.{number}", ""))', "()", (SETTINGS,)),
--- a/pearloom/admin/together.py
+++ b/pearloom/admin/together.py
@@ -23,7 +23,7 @@
 from pearloom.maintenance.settings import MaintenanceSettings
 from pearloom.membership.host import MemberHost
 from pearloom.rollout.host import RolloutHost
-from pearloom.rules.check import Known
+from pearloom.rules.check import KnownNames
 from pearloom.rules.host import RulesHost
 from pearloom.rules.settings import RulesSettings
 from pearloom.rules.table import LocalContext
@@ -52,7 +52,7 @@
         self._store = EtcdStore(store)
         self._link = Link(self._store, store, counters, SystemRandom(), steady_ms)
         self._member = MemberHost(
-            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.beat_ms,
+            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.heartbeat_ms,
             lambda: (exchange.decider.limits, exchange.open_calls), steady_ms,
         )  # fmt: skip
         context = LocalContext(config.class_names, config.tenant_names, turns.zone, self._cells())
@@ -63,24 +63,24 @@
             self._rules,
             counters,
             turns.zone,
-            lambda: exchange.decider.broken,
+            lambda: exchange.decider.failed_decisions,
             steady_ms,
         )
         hands = MaintenanceCallbacks(
             drain,
             activate,
-            idle=lambda: not exchange.open_calls + exchange.standing_calls,
+            is_idle=lambda: not exchange.open_calls + exchange.established_calls,
             withhold=listing.withhold,
             servers=lambda: listing.listed.values(),
-            halted=lambda: self._rollout.halted,
+            halted=lambda: self._rollout.has_recent_halt,
         )
         self._turns = MaintenanceHost(self._link, self._member, counters, turns.limits, hands, steady_ms)
         self._work = Work(self._turns, config.name)
         self._members = Members(self._member)
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
         self.most_call = MOST_RULES_BYTES + MOST_BYTES
-        listing.on_list_event.append(self._rules.relist)
-        exchange.account.router = self._rules
+        listing.on_list_event.append(self._rules.update_zone_cells)
+        exchange.reporter.router = self._rules
 
     def _cells(self) -> Mapping[str, frozenset[int]]:
         cells: dict[str, set[int]] = defaultdict(set)
@@ -88,10 +88,10 @@
             cells[server.zone].add(server.entry.cell)
         return {zone: frozenset(held) for zone, held in cells.items() if zone}
 
-    def _known(self) -> Known:
+    def _known(self) -> KnownNames:
         zones = {*self._config.zone_names, *(one.zone for one in self._member.view.members if one.zone)}
         classes = self._config.settings.classes
-        return Known(
+        return KnownNames(
             tuple(self._config.class_names), tuple(self._config.tenant_names), tuple(sorted(zones)),
             tuple(kind.cells for kind in classes),
         )  # fmt: skip
--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -14,14 +14,14 @@
 
 from pearloom.binary.connection import RELEASE_RESEND_MS, CallerConnection
 from pearloom.binary.isup import Code, Message
+from pearloom.core.calls import Caller, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address, Config
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, Offer
+from pearloom.core.logs import log_event
+from pearloom.core.set_up_validation import SetUpValidator
 
 CONNECTIONS_SHARE = 0.6  # of the descriptors; callers hold a third at most, the rest is for servers and files
 BASE_MB = 14.0  # memory of the program without any connection
@@ -59,8 +59,8 @@
         self._yielded_since_ms = math.inf
         self._checks_emptying = False
         self._clock = clock
-        self._set_up_rules = OfferRules(config)
-        self._attribute_bounds = {**_ATTRIBUTE_BOUNDS, "width": (1, config.most_width)}
+        self._validator = SetUpValidator(config)
+        self._attribute_bounds = {**_ATTRIBUTE_BOUNDS, "width": (1, config.max_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
         self.max_connections = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
         self._connections: dict[CallerConnection, None] = {}
@@ -153,9 +153,9 @@
 
         A connection stays until all calls that it brought have ended; callers see one without calls as idle.
         If the connections of all established calls are gone, the last that carried a call message stays."""
-        if not self.drained or self.yielded or not self.exchange.standing_calls:
+        if not self.drained or self.yielded or not self.exchange.established_calls:
             return set()  # at an upgrade the next process has the calls
-        brought = set(self.exchange.callers_of_standing())
+        brought = set(self.exchange.callers_of_established())
         kept = {caller for caller in self._connections if caller in brought}
         return kept or set(islice(reversed(self._release_targets), 1))
 
@@ -178,7 +178,7 @@
         return host, port
 
     def _accept(self, listener: socket.socket) -> None:
-        for number, sock in enumerate(accepted(listener, "callers"), start=1):
+        for number, sock in enumerate(accept_connections(listener, "callers"), start=1):
             self.counters.add("caller_connections")
             if self._make_room():
                 caller = CallerConnection(self, sock, self.now_ms())
@@ -206,12 +206,12 @@
         for (group, _), _, caller in sorted(ranked)[:MAX_EVICTION_CHECKS]:
             if closed >= max(EVICTED_SHARE * self.max_connections, 1) or (closed and group > 1):
                 break
-            if not caller.connection.busy:
+            if not caller.connection.is_busy:
                 closed += 1
                 self.counters.add("caller_connections_closed")
                 caller.connection.close("too many connections")
         if not closed:
-            note(logging.WARNING, "caller_connections_full", most=self.max_connections)
+            log_event(logging.WARNING, "caller_connections_full", most=self.max_connections)
         return closed > 0
 
     def _close_silent(self) -> None:
@@ -236,7 +236,7 @@
         """Has this connection carried a call message?"""
         return caller in self._release_targets
 
-    def read_offer(self, message: Message) -> Offer | None:
+    def read_offer(self, message: Message) -> SetUpRequest | None:
         """Read the set-up in a message; None if it is invalid."""
         text = message.text(Code.ATTRIBUTES, absent="")
         if text is None or (text and not _ATTRIBUTES.fullmatch(text)):
@@ -248,7 +248,7 @@
             if not low <= attributes.get(key, low) <= high:
                 return None
         patience = message.text(Code.PATIENCE_MS) or ""
-        return self._set_up_rules.offer(
+        return self._validator.validated_request(
             call=message.call,
             class_name=message.text(Code.CLASS),
             tenant_name=message.text(Code.TENANT, absent=""),
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -11,11 +11,11 @@
 
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
+from pearloom.core.calls import Media
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import Malformed
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.sides import Media
+from pearloom.core.logs import log_event
 
 if TYPE_CHECKING:
     from pearloom.binary.callers import Callers
@@ -55,17 +55,17 @@
         self.connection = Connection(sock, self._on_data, self._on_peer_eof, self._on_closed, READ_BYTES)
 
     @property
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Is the caller's side of the connection open?"""
         return not self.connection.peer_ended
 
-    def stands(self, call: str, description: bytes) -> None:
+    def send_answer(self, call: str, description: bytes) -> None:
         """Answer the set-up with the server's description."""
         self.unanswered.discard(call)
         message = Message(Type.ANSWER, call, {Code.DESCRIPTION: description})
         self._send(_OutboundAnswer(isup.encode(message), call))
 
-    def refused(self, call: str, stay_away_ms: float) -> None:
+    def send_refusal(self, call: str, stay_away_ms: float) -> None:
         """Refuse the set-up; `stay_away_ms` above 0 asks the caller to wait before it tries again."""
         self.unanswered.discard(call)
         parameters = {int(Code.CAUSE): bytes([Cause.CONGESTION])}
@@ -73,12 +73,12 @@
             parameters[Code.STAY_AWAY_MS] = str(round(stay_away_ms)).encode("ascii")
         self._send(OutboundMessage(isup.encode(Message(Type.RELEASE, call, parameters)), call))
 
-    def failed(self, call: str) -> None:
+    def send_failure(self, call: str) -> None:
         """Fail the set-up."""
         self.unanswered.discard(call)
         self._send_release(call, Cause.TEMPORARY_FAILURE)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Drop the media: this protocol is for signalling; media go to the address in the description."""
         self._callers.counters.add("media_dropped")
 
@@ -92,7 +92,7 @@
     @property
     def is_busy(self) -> bool:
         """Is a set-up unanswered or partly read, or are there bytes left to read or write?"""
-        return bool(self.unanswered) or self._decoder.has_partial_message or self.connection.busy
+        return bool(self.unanswered) or self._decoder.has_partial_message or self.connection.is_busy
 
     def close_reason(self, now_ms: float) -> str:
         """Why this connection is to be closed, or an empty string.
@@ -111,7 +111,7 @@
         if silent_ms > (
             UNUSED_TIMEOUT_MS if self.has_received_message else MESSAGE_TIMEOUT_MS
         ) and not self._callers.is_release_target(self):
-            return "" if self.connection.busy else "unused"
+            return "" if self.connection.is_busy else "unused"
         return ""
 
     def eviction_rank(self, now_ms: float) -> tuple[int, float] | None:
@@ -139,7 +139,7 @@
         if (
             self.unanswered
             or (not is_late and (is_new or self._decoder.has_partial_message))
-            or self.connection.busy
+            or self.connection.is_busy
         ):
             return
         self._callers.counters.add("caller_connections_emptied")
@@ -160,7 +160,7 @@
     def _on_undelivered(self, outbound: OutboundMessage) -> None:
         """Guards against a call that stays established at a server although its caller got no answer."""
         if isinstance(outbound, _OutboundAnswer):
-            self._callers.exchange.left(outbound.call, Cause.TEMPORARY_FAILURE)
+            self._callers.exchange.handle_caller_release(outbound.call, Cause.TEMPORARY_FAILURE)
 
     def _on_data(self, data: bytes) -> None:
         self._last_byte_ms = self._callers.now_ms()
@@ -171,7 +171,7 @@
             elif message.fatal:
                 self._on_malformed(message)
                 self._fail_and_close()
-            elif not self._on_malformed(message).is_open(message.call):
+            elif not self._on_malformed(message).has_call(message.call):
                 # Guards against a caller that waits in vain for the answer to a malformed set-up.
                 self._send_release(message.call, Cause.INVALID_SET_UP)
         if not self._decoder.has_partial_message:
@@ -181,7 +181,7 @@
 
     def _on_malformed(self, message: Malformed) -> Exchange:
         self._callers.counters.add("malformed_from_callers")
-        note(
+        log_event(
             logging.WARNING,
             "caller_malformed",
             reason=message.reason,
@@ -193,8 +193,8 @@
     def _fail_and_close(self) -> None:
         """Fail all unanswered set-ups and close: the rest of the stream can't be decoded."""
         for call in list(self.unanswered):
-            self._callers.exchange.spoil(call)
-            self.failed(call)
+            self._callers.exchange.abort_set_up(call)
+            self.send_failure(call)
         self.connection.finish()
 
     def _on_message(self, message: Message) -> None:
@@ -205,7 +205,9 @@
                 self._callers.add_release_target(self)
                 cause = message.cause
                 self.unanswered.discard(message.call)
-                self._callers.exchange.left(message.call, Cause.NORMAL if cause is None else cause)
+                self._callers.exchange.handle_caller_release(
+                    message.call, Cause.NORMAL if cause is None else cause
+                )
                 self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_COMPLETE, message.call))))
             case Type.RELEASE_COMPLETE:
                 self._callers.add_release_target(self)
@@ -219,8 +221,8 @@
                 pass
             case _:
                 self._callers.counters.add("malformed_from_callers")
-                note(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
-                if not self._callers.exchange.is_open(message.call):
+                log_event(logging.WARNING, "caller_unknown_type", type=message.type, call=message.call)
+                if not self._callers.exchange.has_call(message.call):
                     self._send_release(message.call, Cause.UNKNOWN_TYPE)
 
     def _on_set_up(self, message: Message) -> None:
@@ -228,21 +230,21 @@
         if message.call in exchange.open_elsewhere:
             # Guards against a second attempt at a set-up that the previous process has not answered yet.
             self._callers.counters.add("open_elsewhere")
-            self.refused(message.call, exchange.stay_away_ms)
+            self.send_refusal(message.call, exchange.stay_away_ms)
             return
-        if exchange.is_open(message.call) or exchange.is_over(message.call):
+        if exchange.has_call(message.call) or exchange.is_recently_ended(message.call):
             # Guards against an answer or a release that could be taken for that of another set-up.
             self._callers.counters.add("bad_set_ups")
-            note(logging.WARNING, "caller_duplicate", call=message.call)
+            log_event(logging.WARNING, "caller_duplicate", call=message.call)
             if message.call in self.unanswered:
                 # Two set-ups under one id can't be told apart in answers, so both fail.
-                exchange.spoil(message.call)
+                exchange.abort_set_up(message.call)
                 self.unanswered.discard(message.call)
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
-        offer = self._callers.read_offer(message)
-        if offer is None:
-            note(logging.WARNING, "caller_bad_set_up", call=message.call)
+        request = self._callers.read_offer(message)
+        if request is None:
+            log_event(logging.WARNING, "caller_bad_set_up", call=message.call)
             self._callers.counters.add("bad_set_ups")
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
@@ -250,25 +252,27 @@
         if len(self.unanswered) >= MAX_UNANSWERED or self._callers.is_refusing:
             # Guards against one connection that uses up what all callers share, and against one that always
             # has an unanswered set-up and so would outlast a drain.
-            exchange.refuse(offer, self)
+            exchange.refuse_set_up(request, self)
             return
         self.unanswered.add(message.call)
-        exchange.offered(offer, self)
+        exchange.handle_set_up(request, self)
 
     def _on_peer_eof(self) -> None:
         # Set-ups of a caller that closed only its sending half are still answered.
         self._has_peer_eof = True
         for call in list(self.unanswered):
-            self._callers.exchange.caller_ended(call)
+            self._callers.exchange.handle_caller_eof(call)
         if not self.unanswered:
             self.connection.finish()
 
     def _on_closed(self, reason: str, unsent: list[OutboundMessage]) -> None:
         if self.unanswered or unsent:
-            note(logging.INFO, "caller_closed", reason=reason, open=len(self.unanswered), unsent=len(unsent))
+            log_event(
+                logging.INFO, "caller_closed", reason=reason, open=len(self.unanswered), unsent=len(unsent)
+            )
         self._callers.remove(self)
         for call in list(self.unanswered):
-            self._callers.exchange.left(call, Cause.NORMAL)
+            self._callers.exchange.handle_caller_release(call, Cause.NORMAL)
         self.unanswered.clear()
         for outbound in unsent:
             self._on_undelivered(outbound)
--- a/pearloom/coordination/etcd.py
+++ b/pearloom/coordination/etcd.py
@@ -20,11 +20,11 @@
 
 from pearloom.coordination.port import (
     MOST_VALUE_BYTES,
-    Attempt,
     Changes,
     Entry,
     Snapshot,
     StoreError,
+    Transaction,
 )
 from pearloom.coordination.settings import StoreSettings
 
@@ -55,7 +55,7 @@
         self._client = self._dial()
 
     def _dial(self) -> Etcd3Client:
-        host, port = self._settings.at[self._at % len(self._settings.at)]
+        host, port = self._settings.addresses[self._at % len(self._settings.addresses)]
         session = requests.Session()
         session.trust_env = False  # no proxy of the surroundings comes between a softswitch and its store
         session.mount("http://", HTTPAdapter(pool_connections=1, pool_maxsize=THREADS, max_retries=0))
@@ -94,11 +94,16 @@
 
         return self._call(write)
 
-    def attempt(self, attempt: Attempt, lease: int) -> bool:
+    def attempt(self, attempt: Transaction, lease: int) -> bool:
         """One transaction; False where a compare did not hold."""
         payload = {
             "compare": [
-                {"key": self._key(one.key), "target": "MOD", "result": "EQUAL", "mod_revision": str(one.mod)}
+                {
+                    "key": self._key(one.key),
+                    "target": "MOD",
+                    "result": "EQUAL",
+                    "mod_revision": str(one.mod_revision),
+                }
                 for one in attempt.compares
             ]
             + [
--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from pearloom.core.errors import Progress
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 
 READ_BYTES = 64 * 1024
 MOST_QUEUED = 128 * 1024  # bytes: what a reader may be behind; 400 such connections still fit the memory
@@ -35,10 +35,10 @@
         self.progress = Progress.NOT_DIALLED
         self.withdrawn = False
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Its last byte has left."""
 
-    def may_leave(self) -> bool:
+    def may_send(self) -> bool:
         """Asked right before the first byte is written: is this message still wanted?
 
         A message that is not has been withdrawn by the time that this returns False."""
@@ -106,7 +106,7 @@
         try:
             self._on_close(reason, unsent)
         except Exception:
-            crashed("connection_close_failed")
+            log_exception("connection_close_failed")
 
     def _guard(self, work: Callable[[], None]) -> None:
         """Exceptions stop here: they end this connection, and the program goes on."""
@@ -115,11 +115,11 @@
         except OSError as trouble:
             self.close(_reason(trouble))
         except Exception:
-            crashed("connection_failed")
+            log_exception("connection_failed")
             self.close("failed here")
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Is something still to be written, or has something come that was not read yet?"""
         return bool(self._queue) or (not self.closed and self._polled(select.POLLIN) != 0)
 
@@ -196,7 +196,7 @@
         # A message that may not leave can take others of the queue with it, even this whole connection.
         for outbound in list(self._queue):
             begun = outbound.progress is Progress.PARTLY_SENT
-            outbound.withdrawn = not begun and (outbound.withdrawn or not outbound.may_leave())
+            outbound.withdrawn = not begun and (outbound.withdrawn or not outbound.may_send())
             if outbound.withdrawn:
                 continue
             if size and size + len(outbound.data) > BATCH_BYTES:
@@ -211,7 +211,7 @@
         for outbound in batch:
             if sent >= len(outbound.data):
                 outbound.progress = Progress.SENT
-                outbound.written()
+                outbound.on_written()
                 sent -= len(outbound.data)
             elif sent:
                 outbound.progress = Progress.PARTLY_SENT
@@ -224,7 +224,7 @@
             self._sock._wait(self._sock._write_event)  # type: ignore[attr-defined]
 
 
-def accepted(listener: socket.socket, at: str) -> Iterator[socket.socket]:
+def accept_connections(listener: socket.socket, at: str) -> Iterator[socket.socket]:
     """Each new connection, for ever.
 
     Guards against a busy loop when descriptors run out: the connection stays in the queue."""
@@ -232,7 +232,7 @@
         try:
             sock, _ = listener.accept()
         except OSError as trouble:
-            note(logging.ERROR, "accept_failed", errno=trouble.errno, at=at)
+            log_event(logging.ERROR, "accept_failed", errno=trouble.errno, at=at)
             gevent.sleep(0.05)
         else:
             yield sock
--- a/pearloom/core/decider.py
+++ b/pearloom/core/decider.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 
 from pearloom import interface as api
+from pearloom.core.calls import SetUpRequest
 from pearloom.core.clock import Clock
-from pearloom.core.logs import crashed
+from pearloom.core.logs import log_exception
 from pearloom.core.routing import CallRoute
-from pearloom.core.sides import Offer
 from pearloom.policy import Controller
 
 
-def arrival(offer: Offer, way: CallRoute | None) -> api.CallArrived:
+def call_arrived_event(offer: SetUpRequest, way: CallRoute | None) -> api.CallArrived:
     """A new set-up as the decision module hears of it; `way`: what the fleet's routing rules said of it."""
     return api.CallArrived(
         call=offer.call,
-        kind=offer.kind,
+        kind=offer.class_index,
         tenant=offer.tenant,
         patience_us=round(offer.patience_ms * 1000),
         first_choice=offer.first_choice,
@@ -47,12 +47,12 @@
         self._now_us = 0
         self._events: deque[api.Event] = deque()
         self._telling = False
-        self.broken = 0  # events that the module choked on
+        self.failed_decisions = 0  # events that the module choked on
 
     @property
-    def avoided(self) -> int:
+    def ejected_count(self) -> int:
         """How many listed pools get single trials alone."""
-        return self._controller.avoided
+        return self._controller.ejected_count
 
     @property
     def limits(self) -> dict[str, float]:
@@ -66,7 +66,7 @@
         due_us = self._now_us + after_us
         return (due_us + -due_us % self._round_us) / 1000.0
 
-    def tell(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """Hand the controller an event; what its actions bring about follows in turn, never inside."""
         self._events.append(event)
         if self._telling:
@@ -88,8 +88,8 @@
             actions = self._controller.handle(self._step_us(), event)
         except Exception:
             # Guards against one call that the module chokes on: it is answered, and the others go on.
-            self.broken += 1
-            crashed("decision_failed", what=type(event).__name__)
+            self.failed_decisions += 1
+            log_exception("decision_failed", what=type(event).__name__)
             actions = [api.Fail(event.call)] if isinstance(event, api.CallArrived) else []
         for action in actions:
             self._act(action)
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from pearloom import interface as api
-from pearloom.core.ends import End
-from pearloom.core.sides import Offer
+from pearloom.core.calls import SetUpRequest
+from pearloom.core.outcomes import CallOutcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,8 +25,8 @@
 class Router(Protocol):
     """Asked once for each call, at its arrival; nothing of it may wait."""
 
-    def way(self, offer: Offer) -> CallRoute:
+    def route_for(self, offer: SetUpRequest) -> CallRoute:
         """The way that the rules of this moment give this call."""
 
-    def ended(self, way: CallRoute, kind: int, end: End, took_ms: float) -> None:
+    def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
         """One end of a call that arrived under these rules; `took_ms` from its arrival."""
--- a/pearloom/interface.py
+++ b/pearloom/interface.py
@@ -128,15 +128,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What operators' rules say of one call's way: among the pools that are open to it anyway.
+    """What the operators' routing rules say of one call, among the pools that are open to it anyway.
 
-    `only`: the cells that it may use (None: all), less those `closed`. `tiers`: cell -> order, lower first;
-    a cell not named has `tier`. `weights`: cell -> factor above 0 in a draw; 1 where not named."""
+    `allowed_cells`: the cells that the call may use (None: all), less `closed_cells`. `tiers`: cell -> order,
+    lower first; a cell not named has `default_tier`. `weights`: cell -> factor above 0 in a random choice; 1
+    where not named."""
 
-    only: frozenset[int] | None = None
-    closed: frozenset[int] = frozenset()
+    allowed_cells: frozenset[int] | None = None
+    closed_cells: frozenset[int] = frozenset()
     tiers: Mapping[int, int] = field(default_factory=dict)
-    tier: int = 0
+    default_tier: int = 0
     weights: Mapping[int, float] = field(default_factory=dict)
 
 
@@ -172,7 +173,7 @@
     """The one outcome that each attempt gets; `full_wait_us` where a full processor names one.
 
     FULL has one of two reasons: `processor_full`, or `no_line`, that no agent or line was free.
-    `line_only`: a connection broke, which says nothing of the server.
+    `is_connection_fault`: a connection broke, which says nothing of the server.
     """
 
     call: str
@@ -183,7 +184,7 @@
     call_over: bool = False
     processor_full: bool = False
     no_line: bool = False
-    line_only: bool = False
+    is_connection_fault: bool = False
     full_wait_us: int = 0
     report: Mapping[str, float] = field(default_factory=dict)
 
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -19,7 +19,7 @@
 from pearloom.core.config import Address, ListUpdate, Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import Malformed
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 from pearloom.servers.discovery import PoolView
 
 CONNECT_TIMEOUT_S = 1.0
@@ -143,14 +143,14 @@
                 self._follow_connection()
             except OSError as error:
                 if not self._moved:
-                    note(logging.WARNING, "coordinator_lost", index=self.index, reason=str(error))
+                    log_event(logging.WARNING, "coordinator_lost", index=self.index, reason=str(error))
             except Exception:
-                crashed("coordinator_failed", index=self.index)
+                log_exception("coordinator_failed", index=self.index)
             if self._moved:
                 # A move is no loss: there is no warning, and no delay before the next connection, which is
                 # there to spare a coordinator that has just failed.
                 host, port = self._address
-                note(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
+                log_event(logging.INFO, "coordinator_moved", index=self.index, coordinator=f"{host}:{port}")
             else:
                 gevent.sleep(RECONNECT_DELAY_S)
 
@@ -174,13 +174,13 @@
         """Apply one event unless it is old; raises ConnectionError if the stream can't be decoded further."""
         self.has_received = True
         if isinstance(event, Malformed):
-            note(logging.WARNING, "coordinator_malformed", reason=event.reason)
+            log_event(logging.WARNING, "coordinator_malformed", reason=event.reason)
             if event.fatal:
                 raise ConnectionError("malformed")
         elif isinstance(event, ListUpdate) and event.index > self.index:
             self.index = event.index
             self._counters.add("list_events_in")
             states = ",".join(f"{server.entry.server}:{server.entry.state.value}" for server in event.servers)
-            note(logging.INFO, "list", index=event.index, whole=event.whole, servers=states)
+            log_event(logging.INFO, "list", index=event.index, whole=event.whole, servers=states)
             kind = api.ListKind.COMPLETE if event.whole else api.ListKind.CHANGES
             self._pool_view.apply_event(kind, event.servers)
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import crashed
-from pearloom.core.sides import Media, SetUp
+from pearloom.core.logs import log_exception
 from pearloom.interface import PoolState
 
 WATCH_INTERVAL_MS = 100.0
@@ -46,7 +46,7 @@
     def update(self, server: Server) -> None:
         """Apply the server's new entry in the pool list."""
 
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
 
     def give_up(self, call: str) -> Progress | None:
@@ -58,7 +58,7 @@
     def release(self, call: str, number: str, cause: int) -> None:
         """Release an established call."""
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass a caller's media on."""
 
     def watch(self) -> None:
@@ -108,7 +108,7 @@
                     trunk.close()
                     del self._trunks[trunk.name]
         except Exception:
-            crashed("watch_failed")
+            log_exception("watch_failed")
         self.exchange.after_ms(WATCH_INTERVAL_MS, self._watch)
 
     @property
@@ -131,7 +131,7 @@
         self._trunks[name] = trunk = self._factories[self.protocol_of(name)](self, server)
         return trunk
 
-    def listed(self, servers: Sequence[Server], whole: bool) -> None:
+    def update_servers(self, servers: Sequence[Server], whole: bool) -> None:
         """Apply a list, or changes to it; a new server is dialled at once."""
         listed_ids = {server.entry.server for server in servers}
         for server in servers:
@@ -159,7 +159,7 @@
     def dial_servers_with_calls(self) -> None:
         """Open another connection to each server that has established calls."""
         for trunk in self._trunks.values():
-            if self.exchange.standing_at(trunk.name):
+            if self.exchange.established_at(trunk.name):
                 trunk.dial()
 
     def finish(self) -> None:
@@ -178,13 +178,13 @@
             if not trunk.is_ready:
                 trunk.withdraw_unsent()
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
         trunk = self._trunks.get(server)
         if trunk is None or not trunk.is_ready:
             # The last check that a draining server, or one that is gone, gets no set-up.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
-            self.exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
+            self.exchange.attempt_ended(set_up.request.call, set_up.attempt, error)
         else:
             trunk.set_up(set_up)
 
@@ -199,11 +199,11 @@
             if server in (None, trunk.name):
                 trunk.release(call, number, cause)
 
-    def media(self, server: str, call: str, media: Media) -> None:
+    def send_media(self, server: str, call: str, media: Media) -> None:
         """Pass a caller's media on."""
         trunk = self._trunks.get(server)
         if trunk is not None:
-            trunk.media(call, media)
+            trunk.send_media(call, media)
 
 
 def _with_state_gone(server: Server) -> Server:
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -9,9 +9,9 @@
 
 from gevent import socket
 
+from pearloom.core.calls import SetUpAttempt
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
-from pearloom.core.sides import SetUp
 from pearloom.interface import Ending
 from pearloom.sip import codec as sip
 
@@ -47,28 +47,28 @@
 class OutboundSetUp(OutboundMessage):
     """An INVITE that is being sent, or waits for its answer."""
 
-    __slots__ = ("_may_leave", "_on_written", "link", "sent_ms", "set_up")
+    __slots__ = ("_may_send", "_on_written", "link", "sent_ms", "set_up")
 
     def __init__(
         self,
         data: bytes,
-        set_up: SetUp,
-        may_leave: Callable[[OutboundSetUp], bool],
+        set_up: SetUpAttempt,
+        may_send: Callable[[OutboundSetUp], bool],
         on_written: Callable[[], None],
     ) -> None:
-        """`may_leave` is called before the first byte is sent, `on_written` after the last one."""
-        super().__init__(data, set_up.offer.call)
+        """`may_send` is called before the first byte is sent, `on_written` after the last one."""
+        super().__init__(data, set_up.request.call)
         self.set_up = set_up
         self.link: Link | None = None
         self.sent_ms = 0.0  # when it was queued at its connection
-        self._may_leave = may_leave
+        self._may_send = may_send
         self._on_written = on_written
 
-    def may_leave(self) -> bool:
+    def may_send(self) -> bool:
         """Is the attempt still wanted?"""
-        return self._may_leave(self)
+        return self._may_send(self)
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Report that the last byte was sent."""
         self._on_written()
 
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -6,13 +6,13 @@
 
 import gevent
 
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.config import Server
 from pearloom.core.connection import OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_NORMAL
-from pearloom.core.logs import note
-from pearloom.core.remembered import Kept
-from pearloom.core.sides import Media, SetUp
+from pearloom.core.logs import log_event
+from pearloom.core.recent import RecentValues
 from pearloom.interface import Ending, PoolState
 from pearloom.servers.directory import Directory
 from pearloom.settings import read_report
@@ -54,8 +54,8 @@
         self.dialling = False
         self._waiting: list[OutboundMessage] = []
         self._set_ups: dict[str, OutboundSetUp] = {}
-        self._given_up = Kept[tuple[str, int]](GIVEN_UP_KEPT_MS)  # number, CSeq by call
-        self._byes = Kept[OutboundMessage](BYE_RESEND_MS)
+        self._given_up = RecentValues[tuple[str, int]](GIVEN_UP_KEPT_MS)  # number, CSeq by call
+        self._byes = RecentValues[OutboundMessage](BYE_RESEND_MS)
         self._liveness = Liveness(directory.clock.now_ms())
 
     @property
@@ -66,7 +66,7 @@
     @property
     def _expects_message(self) -> bool:
         """Is an answer or a release due from the server?"""
-        return bool(self._set_ups) or self._exchange.standing_at(self.name) > 0
+        return bool(self._set_ups) or self._exchange.established_at(self.name) > 0
 
     @property
     def is_idle(self) -> bool:
@@ -84,15 +84,15 @@
         """The time of the exchange's clock."""
         return self._directory.clock.now_ms()
 
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send an INVITE."""
-        outbound = OutboundSetUp(requests.invite(set_up), set_up, self._may_leave, self._exchange.forwarded)
+        invite = OutboundSetUp(requests.invite(set_up), set_up, self._wanted, self._exchange.count_forwarded)
         if not self._expects_message:
             self._liveness.expect_message(self.now_ms)
-        self._set_ups[outbound.call] = outbound
-        self._send(outbound)
+        self._set_ups[invite.call] = invite
+        self._send(invite)
 
-    def _may_leave(self, outbound: OutboundSetUp) -> bool:
+    def _wanted(self, outbound: OutboundSetUp) -> bool:
         """Called before the first byte is sent: is the connection open, and the attempt still wanted?"""
         link = outbound.link
         if link is not None and link.connection.peer_ended:
@@ -118,7 +118,7 @@
             if outbound.link.last_message_ms <= outbound.sent_ms < now - MUTE_FROM_MS:
                 outbound.link.mute_since_ms = min(outbound.link.mute_since_ms, now)
                 self._dial_policy.record_break(now)
-            self._given_up.put(call, (outbound.set_up.offer.number, sequence_of(outbound.set_up)), now)
+            self._given_up.put(call, (outbound.set_up.request.number, sequence_of(outbound.set_up)), now)
         return outbound.progress
 
     def withdraw_unsent(self) -> None:
@@ -140,7 +140,7 @@
         if server.entry.started_us > previous.entry.started_us:
             # The server process has restarted: no release of its earlier calls will come.
             started_ms = server.entry.started_us / 1000.0
-            self._exchange.server_lost(self.name, started_ms, "restarted")
+            self._exchange.handle_server_loss(self.name, started_ms, "restarted")
             self._links.close_older(started_ms, "restarted")
         if server.entry.state is PoolState.GONE:
             self.watch()
@@ -165,7 +165,7 @@
         if may_open and self._links.make_room():
             self.dial()
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Drop the media: a trunk carries signalling only; media go to the address in the description."""
         self._directory.counters.add("media_dropped")
 
@@ -206,7 +206,7 @@
 
     def _on_dial_failed(self, failure: DialFailure) -> None:
         is_refused = failure.kind is DialFailureKind.REFUSED
-        note(logging.INFO, "dial_failed", server=self.name, refused=is_refused, reason=failure.reason)
+        log_event(logging.INFO, "dial_failed", server=self.name, refused=is_refused, reason=failure.reason)
         if failure.kind is not DialFailureKind.NOT_TRIED:
             self._liveness.record_failed_dial()
         waiting, self._waiting = self._waiting, []
@@ -217,8 +217,7 @@
             else:
                 self._waiting.append(outbound)
         if is_refused and self._links and not self.is_ready:
-            # Guards against cutting calls of a draining server: it refuses new connections, but serves those
-            # that are open. The refusal shows that its machine is running.
+            # A draining server refuses new connections while its calls go on: its machine is running.
             self._liveness.record_sign_of_life(self.now_ms)
             return
         # If no connection is left, a refused one proves that the process has ended. One that is never
@@ -227,18 +226,18 @@
             self._on_lost("refused")
         elif self._liveness.is_dead(self.now_ms):
             self._on_lost("silent")
-        elif self._exchange.standing_at(self.name) or self._waiting:
+        elif self._exchange.established_at(self.name) or self._waiting:
             self._directory.exchange.after_ms(REDIAL_DELAY_MS, self._redial)
 
     def _redial(self) -> None:
-        if self._exchange.standing_at(self.name) or self._waiting:
+        if self._exchange.established_at(self.name) or self._waiting:
             self.dial()
 
     def _on_lost(self, reason: str) -> None:
         """The server is dead, cut off, or replaced: release its calls and close its connections."""
         self._waiting = [outbound for outbound in self._waiting if isinstance(outbound, OutboundSetUp)]
         self._byes.clear()
-        self._exchange.server_lost(self.name, self._directory.clock.now_ms() + 1, reason)
+        self._exchange.handle_server_loss(self.name, self._directory.clock.now_ms() + 1, reason)
         self._is_lost = True
         self._links.close_all(reason)
         self._is_lost = False
@@ -258,7 +257,7 @@
             # `open`: set-ups that ended with it. A server that closes new connections at once shows as many
             # of these events with spoke=False (no message ever came) and a low age.
             has_spoken, age_ms = link.last_message_ms > link.opened_ms, round(self.now_ms - link.opened_ms)
-            note(
+            log_event(
                 logging.INFO, "server_closed", server=self.name, reason=reason, open=len(link.unanswered),
                 spoke=has_spoken, age_ms=age_ms,
             )  # fmt: skip
@@ -266,19 +265,18 @@
             self._dial_policy.record_break(self.now_ms)
         for set_up in list(link.unanswered.values()):
             self._end_attempt(set_up, AttemptError(set_up.progress, reason, line_only=not self._is_lost))
-        resent = self._byes.young(self.now_ms)
+        resent = self._byes.unexpired(self.now_ms)
         if self._links:
             for outbound in resent:
                 self._send(outbound)
-            if self._exchange.standing_at(self.name) and not self._is_lost:
-                # A release that the server sent on the ended connection may be lost: the server repeats it on
-                # the next one that is opened.
+            if self._exchange.established_at(self.name) and not self._is_lost:
+                # A release sent on the ended connection may be lost; the server repeats it on the next one.
                 delay_ms = self._dial_policy.delay_after_close_ms(self.now_ms)
                 if delay_ms is not None:
                     self._directory.exchange.after_ms(delay_ms, self._dial_after_close)
             return
         self._waiting += [outbound for outbound in resent if outbound not in self._waiting]
-        if self._exchange.standing_at(self.name) or self._waiting:
+        if self._exchange.established_at(self.name) or self._waiting:
             if not self.is_ready and self._directory.address_taken(self):
                 # The process that now has this address is not the one that had the calls.
                 self._on_lost("replaced")
@@ -286,7 +284,7 @@
                 self.dial()
 
     def _dial_after_close(self) -> None:
-        if self._exchange.standing_at(self.name):
+        if self._exchange.established_at(self.name):
             self._dial_another()
 
     def watch(self) -> None:
@@ -298,7 +296,9 @@
         if is_gone or (not self.is_ready and self._directory.address_taken(self)):
             # Guards against mistaking the process that now has this address, and sends messages, for the one
             # that had the calls: only a connection opened before a call can still be the old process's.
-            self._exchange.server_lost(self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced")
+            self._exchange.handle_server_loss(
+                self.name, self._links.oldest_ms(), "gone" if is_gone else "replaced"
+            )
         if is_gone and self.now_ms - self._links.last_message_ms() >= SILENT_MS:
             self._on_lost("gone")
         elif not is_gone and self._liveness.is_silent(self.now_ms):
@@ -311,7 +311,7 @@
         """Log and count bytes from the server that are not valid SIP."""
         self._directory.counters.add("malformed_from_servers")
         fields = {"reason": message.reason, "closed": message.fatal}
-        note(logging.WARNING, "server_malformed", server=self.name, **fields)
+        log_event(logging.WARNING, "server_malformed", server=self.name, **fields)
 
     def on_message(self, link: Link, message: sip.Request | sip.Response) -> None:
         """Handle one message of the server."""
@@ -325,7 +325,7 @@
         elif isinstance(message, sip.Request) and message.method == "NOTIFY":
             pass  # its only content is X-Circuits, and it needs no response
         elif call is None:
-            note(logging.WARNING, "server_no_call", server=self.name)
+            log_event(logging.WARNING, "server_no_call", server=self.name)
         elif isinstance(message, sip.Response):
             self._on_response(link, call, message)
         elif message.method == "BYE":
@@ -333,7 +333,9 @@
             cause = sip.reason_cause(message)
             self._on_released(call, CAUSE_NORMAL if cause is None else cause)
         elif message.method != "ACK":
-            note(logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call)
+            log_event(
+                logging.WARNING, "server_unknown_method", server=self.name, method=message.method, call=call
+            )
 
     def _on_report(self, circuits: str) -> None:
         """Report free lines to the exchange; otherwise a gate learns from refusals alone how few are free."""
@@ -342,14 +344,14 @@
         except ValueError:
             self.on_malformed(Malformed(f"X-Circuits {circuits[:60]!r}", fatal=False))
         else:
-            self._exchange.reported(self.name, report)
+            self._exchange.handle_server_report(self.name, report)
 
     def _on_released(self, call: str, cause: int) -> None:
         outbound = self._set_ups.get(call)
         if outbound is not None:
             self._end_attempt(outbound, AttemptError(Progress.ANSWERED, "released", Ending.RESET))
         else:
-            self._exchange.released(self.name, call, cause)
+            self._exchange.handle_server_release(self.name, call, cause)
 
     def _on_response(self, link: Link, call: str, response: sip.Response) -> None:
         if response.method == "BYE":
@@ -359,18 +361,20 @@
         outbound = self._set_ups.get(call)
         if outbound is not None and outbound.link is not link:
             # A late answer to an earlier attempt of this call.
-            note(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
+            log_event(logging.INFO, "server_late_answer", server=self.name, call=call, status=response.status)
             return
         if outbound is not None:
-            number, sequence = outbound.set_up.offer.number, sequence_of(outbound.set_up)
+            number, sequence = outbound.set_up.request.number, sequence_of(outbound.set_up)
         elif (given_up := self._given_up.pop(call)) is not None:
             number, sequence = given_up
-        elif self._exchange.is_open(call) or self._exchange.is_over(call):
+        elif self._exchange.has_call(call) or self._exchange.is_recently_ended(call):
             number, sequence = "unknown", 1
         else:
             # An answer to a call that this softswitch does not know.
             self._directory.counters.add("unknown_from_servers")
-            note(logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status)
+            log_event(
+                logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status
+            )
             return
         link.send(OutboundMessage(requests.ack(call, number, sequence)))
         if response.status >= 300:
@@ -381,9 +385,9 @@
             del self._set_ups[call]
             link.unanswered.pop(call, None)
             outbound.progress = Progress.ANSWERED
-            if self._exchange.stands(call, outbound.set_up.attempt, response.body):
+            if self._exchange.handle_answer(call, outbound.set_up.attempt, response.body):
                 return
-        if not self._exchange.stands_at(self.name, call):
+        if not self._exchange.is_established_at(self.name, call):
             # The answer crossed a CANCEL; without a BYE the call would stay established with no caller.
             self.release(call, number, CAUSE_NORMAL)
 
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -18,12 +18,12 @@
 
 import pytest
 
-from pearloom.coordination.port import Attempt, Entry, Snapshot
+from pearloom.coordination.port import Entry, Snapshot, Transaction
 from pearloom.fakes.fleet.simulation import apply, roll
 from pearloom.maintenance import order, records, steps
 from pearloom.maintenance.order import Fleet, Machine
-from pearloom.maintenance.records import Kind, Limits, Phase, Slot
-from pearloom.maintenance.steps import Own
+from pearloom.maintenance.records import Limits, MachineKind, Phase, Slot
+from pearloom.maintenance.steps import LocalSoftswitch
 
 NAMES = ("n1", "n2")
 REVISIONS = 9  # of the store, up to which is explored
@@ -39,7 +39,7 @@
     awake: bool = True
     alive: bool = True  # its lease is
     read: Snapshot = field(default_factory=lambda: Snapshot(1, 0, ()))
-    trying: Attempt | None = None
+    trying: Transaction | None = None
     works: int = 0  # the revision of the grant on which it drains, 0: none
     works_life: int = 0
 
@@ -58,21 +58,21 @@
 
 
 def start(limits: Limits, faults: int) -> World:
-    store = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
-    first = apply(store, records.request(reading(store), [ask("n1", urgent=False)]))
+    store = Snapshot(1, 1, (Entry(records.LIMITS_KEY, records.encode(limits), 1, 1),))
+    first = apply(store, records.request_slots(reading(store), [ask("n1", urgent=False)]))
     assert first is not None
     return World(first, tuple(Node(10 + at, read=first) for at in range(len(NAMES))), faults)
 
 
 def ask(name: str, urgent: bool) -> Slot:
-    return Slot(1, f"t-{name}", Kind.SOFTSWITCH, name, f"zone-{name}", "", urgent, "n1", "kernel", 0)
+    return Slot(1, f"t-{name}", MachineKind.SOFTSWITCH, name, f"zone-{name}", "", urgent, "n1", "kernel", 0)
 
 
 def fleet_of(world: World) -> Fleet:
     """As both see it: leases end at the store, so what one sees of the other is what the store says."""
     return Fleet(
         tuple(
-            Machine(Kind.SOFTSWITCH, name, f"zone-{name}", ready=node.alive, incarnation=node.life)
+            Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", ready=node.alive, incarnation=node.life)
             for name, node in zip(NAMES, world.nodes, strict=True)
         )
     )
@@ -81,7 +81,7 @@
 def moves(world: World) -> Iterator[tuple[str, World]]:
     """Every single thing that may happen next."""
     if world.store.find("turns/t-n2") is None and world.store.revision < 6:
-        asked = apply(world.store, records.request(reading(world.store), [ask("n2", urgent=True)]))
+        asked = apply(world.store, records.request_slots(reading(world.store), [ask("n2", urgent=True)]))
         assert asked is not None
         yield "an urgent request comes", replace(world, store=asked, past=world.store)
     if world.faults and world.past is not None:
@@ -101,7 +101,7 @@
                 for idle, waited in ((False, 0.0), (True, 0.0), (False, LATE_MS)):
                     step = decide(world, name, node, idle, waited)
                     if step is not None:
-                        yield f"{name} tries {step.to}", put(replace(node, trying=step.attempt))
+                        yield f"{name} tries {step.to}", put(replace(node, trying=step.transaction))
             else:
                 after = apply(world.store, node.trying)
                 done = replace(node, trying=None)
@@ -127,15 +127,17 @@
 
 def decide(world: World, name: str, node: Node, idle: bool, waited: float) -> steps.Step | None:
     slots = reading(node.read)
-    seen = {(held.slot.id, held.mod): -waited for held in slots.slots}
-    return steps.next_step(slots, fleet_of(world), Own(name, node.life, idle, node.alive), seen, 0.0)
+    seen = {(held.slot.id, held.mod_revision): -waited for held in slots.slots}
+    return steps.next_step(
+        slots, fleet_of(world), LocalSoftswitch(name, node.life, idle, node.alive), seen, 0.0
+    )
 
 
 def works_on(node: Node) -> tuple[int, int]:
     """What the host does: it drains while its own turn, granted to this life, says so."""
     for held in reading(node.read).slots:
         if held.slot.grant == node.life and held.slot.phase in (Phase.DRAINING, Phase.OUT):
-            return held.mod, held.slot.grant
+            return held.mod_revision, held.slot.grant
     return 0, 0
 
 
@@ -186,8 +188,8 @@
 
         def grant(held: records.Held, slots: records.Slots, fleet: Fleet) -> steps.Step:
             step = real_grant(held, slots, fleet)
-            mine = tuple(one for one in step.attempt.compares if one.key == held.slot.key)
-            return replace(step, attempt=Attempt(mine, step.attempt.writes))
+            mine = tuple(one for one in step.transaction.compares if one.key == held.slot.key)
+            return replace(step, transaction=Transaction(mine, step.transaction.writes))
 
         monkeypatch.setattr(steps, "_grant", grant)
     elif seeded == "out":  # machines out on their turn are not counted
@@ -204,7 +206,7 @@
 
         def moved(held: records.Held, **changes: object) -> tuple[object, object]:
             compare, write = records.moved(held, **changes)
-            return replace(compare, key="nothing", mod=0, value=None), write
+            return replace(compare, key="nothing", mod_revision=0, value=None), write
 
         monkeypatch.setattr(steps, "moved", moved)
 
@@ -219,14 +221,14 @@
 def test_a_grant_into_room_that_a_lost_write_had_freed_does_not_pass() -> None:
     """Guards against a compare on revisions alone: a store that lost a write gives its revision again."""
     limits = Limits(out=1, floor=0.0)
-    machines = tuple(Machine(Kind.SOFTSWITCH, name, f"zone-{name}", incarnation=1) for name in NAMES)
-    fleet, own = Fleet(machines), Own("n1", 1)
-    store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS, records.encode(limits), 1, 1),))
+    machines = tuple(Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", incarnation=1) for name in NAMES)
+    fleet, own = Fleet(machines), LocalSoftswitch("n1", 1)
+    store: Snapshot | None = Snapshot(1, 1, (Entry(records.LIMITS_KEY, records.encode(limits), 1, 1),))
     assert store is not None
-    store = apply(store, records.request(reading(store), [ask(name, urgent=False) for name in NAMES]))
+    store = apply(store, records.request_slots(reading(store), [ask(name, urgent=False) for name in NAMES]))
 
     def on(there: Snapshot, fleet: Fleet, waited: float) -> steps.Step:
-        seen = {(held.slot.id, held.mod): -waited for held in reading(there).slots}
+        seen = {(held.slot.id, held.mod_revision): -waited for held in reading(there).slots}
         step = steps.next_step(reading(there), fleet, own, seen, 0.0)
         assert step is not None
         return step
@@ -237,20 +239,20 @@
         seen = Fleet((replace(machines[0], incarnation=born), machines[1]))
         step = on(store, seen, LATE_MS if to is Phase.OUT else 0.0)
         assert step.to is to
-        store = apply(store, step.attempt)
+        store = apply(store, step.transaction)
     assert store is not None
-    freed = apply(store, on(store, fleet, LATE_MS).attempt)  # done; and this write is lost
+    freed = apply(store, on(store, fleet, LATE_MS).transaction)  # done; and this write is lost
     assert freed is not None
     late = on(freed, fleet, 0.0)
     assert (late.to, late.machine) == (Phase.GRANTED, "n2")
-    other = apply(store, records.request(reading(store), [replace_id(ask("n1", urgent=False))]))
+    other = apply(store, records.request_slots(reading(store), [replace_id(ask("n1", urgent=False))]))
     assert other is not None and other.revision == freed.revision
-    assert apply(other, late.attempt) is None
+    assert apply(other, late.transaction) is None
 
 
 def replace_id(slot: Slot) -> Slot:
     """Another machine's turn, so that it may be asked for beside those that are there."""
-    return Slot(1, "t-n3", Kind.SOFTSWITCH, "n3", slot.zone, "", False, "n1", slot.reason, 0)
+    return Slot(1, "t-n3", MachineKind.SOFTSWITCH, "n3", slot.zone, "", False, "n1", slot.reason, 0)
 
 
 def test_rolling_work_over_a_simulated_fleet_keeps_the_limits_and_wastes_little() -> None:
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearloom.coordination import pace
+from pearloom.coordination import timing
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.order import Fleet, Machine, Wait, queue, waits
@@ -14,14 +14,14 @@
     FORMAT,
     Gate,
     Held,
-    Kind,
     Limits,
+    MachineKind,
     MaintenanceError,
     Phase,
     Slot,
     Slots,
 )
-from pearloom.maintenance.steps import KEEP_MS, Own, Step
+from pearloom.maintenance.steps import KEEP_MS, LocalSoftswitch, Step
 
 WIDE = Limits(out=9, out_zone=9, out_cell=9, floor=0.0, take_up_ms=1_000, drain_ms=2_000, settle_ms=3_000)
 
@@ -32,7 +32,7 @@
     zone: str = "a",
     urgent: bool = False,
     phase: Phase = Phase.WAITING,
-    kind: Kind = Kind.SOFTSWITCH,
+    kind: MachineKind = MachineKind.SOFTSWITCH,
     cell: str = "",
     grant: int = 0,
     note: str = "",
@@ -43,7 +43,7 @@
 
 
 def machine(name: str, zone: str = "a", ready: bool = True, life: int = 1, cell: str = "") -> Machine:
-    kind = Kind.SERVER if name.startswith("s-") else Kind.SOFTSWITCH
+    kind = MachineKind.SERVER if name.startswith("s-") else MachineKind.SOFTSWITCH
     return Machine(kind, name, zone, cell, ready, incarnation=life)
 
 
@@ -89,14 +89,14 @@
         (slots(slot(1), limits=ZONE), GONE, [Wait.ZONE]),
         (slots(slot(1), slot(4, zone="b"), limits=ZONE), GONE, [Wait.ZONE, None]),  # other zones go on
         (slots(slot(1, urgent=True), slot(4, zone="b"), limits=ZONE), GONE, [Wait.ZONE, Wait.BEHIND]),
-        (slots(slot(1, "s-1", kind=Kind.SERVER, cell="c1"), limits=CELL), CELLS, [Wait.CELL]),
-        (slots(slot(1, "s-3", kind=Kind.SERVER, cell="c2"), limits=CELL), CELLS, [None]),
+        (slots(slot(1, "s-1", kind=MachineKind.SERVER, cell="c1"), limits=CELL), CELLS, [Wait.CELL]),
+        (slots(slot(1, "s-3", kind=MachineKind.SERVER, cell="c2"), limits=CELL), CELLS, [None]),
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.5)), GONE, [Wait.FLOOR]),
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.33)), GONE, [None]),
         (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"a"})), [Wait.TROUBLE]),
         (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"b"})), [Wait.TROUBLE]),  # another one's
         (slots(slot(1)), Fleet(FLEET.machines, halted=True), [Wait.HALTED]),
-        (slots(slot(1)), Fleet(FLEET.machines, fresh=False), [Wait.STALE]),
+        (slots(slot(1)), Fleet(FLEET.machines, is_fresh=False), [Wait.STALE]),
         (slots(slot(9), slot(1)), FLEET, [None, Wait.UNKNOWN]),  # one that nobody knows holds up nobody
         (slots(slot(2), slot(1, zone="b")), GONE, [None, Wait.AWAY]),
     ],
@@ -109,23 +109,27 @@
     there = records.read_slots(Snapshot(1, 9, (Entry("turns/t1", b"{}", 1, 1),)))
     assert there.unreadable == ("turns/t1",)
     with pytest.raises(MaintenanceError, match="turns/t1"):
-        records.request(there, [slot(1).slot])
+        records.request_slots(there, [slot(1).slot])
     good = records.encode(slot(1).slot)
     there = records.read_slots(Snapshot(1, 9, (Entry("turns/t1", good, 1, 1), Entry("turns/x", b"", 2, 2))))
     assert [reason for _, reason in waits(there, FLEET)] == [Wait.UNREADABLE]
 
 
 def stepped(
-    held: Held, there: Machine | None, waited_ms: float = 0.0, own: Own | None = None, limits: Limits = WIDE
+    held: Held,
+    there: Machine | None,
+    waited_ms: float = 0.0,
+    own: LocalSoftswitch | None = None,
+    limits: Limits = WIDE,
 ) -> Step | None:
     fleet = Fleet((there,) if there is not None else ())
-    own = own or Own("n9", 1)
+    own = own or LocalSoftswitch("n9", 1)
     return steps.next_step(
-        slots(held, limits=limits), fleet, own, {(held.slot.id, held.mod): -waited_ms}, 0.0
+        slots(held, limits=limits), fleet, own, {(held.slot.id, held.mod_revision): -waited_ms}, 0.0
     )
 
 
-ME, MINE = Own("n1", 1), {"grant": 1}
+ME, MINE = LocalSoftswitch("n1", 1), {"grant": 1}
 LIVE, DEAD, REBORN = machine("n1"), machine("n1", ready=False), machine("n1", life=2)
 
 
@@ -133,28 +137,34 @@
     ("phase", "there", "waited_ms", "own", "to"),
     [
         (Phase.GRANTED, LIVE, 0, ME, Phase.DRAINING),
-        (Phase.GRANTED, LIVE, 999, Own("n9", 1), None),
-        (Phase.GRANTED, LIVE, 1_001, Own("n9", 1), Phase.WAITING),
-        (Phase.GRANTED, LIVE, 0, Own("n1", 2), None),  # this life has no grant
-        (Phase.GRANTED, DEAD, 0, Own("n9", 1), Phase.OUT),
-        (Phase.GRANTED, REBORN, 0, Own("n9", 1), Phase.OUT),
-        (Phase.GRANTED, None, 0, Own("n9", 1), Phase.OUT),
+        (Phase.GRANTED, LIVE, 999, LocalSoftswitch("n9", 1), None),
+        (Phase.GRANTED, LIVE, 1_001, LocalSoftswitch("n9", 1), Phase.WAITING),
+        (Phase.GRANTED, LIVE, 0, LocalSoftswitch("n1", 2), None),  # this life has no grant
+        (Phase.GRANTED, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
+        (Phase.GRANTED, REBORN, 0, LocalSoftswitch("n9", 1), Phase.OUT),
+        (Phase.GRANTED, None, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.DRAINING, LIVE, 0, ME, None),
-        (Phase.DRAINING, LIVE, 0, Own("n1", 1, idle=True), Phase.OUT),
-        (Phase.DRAINING, LIVE, 0, Own("n9", 1, idle=True), None),  # another one's idleness is not its own
-        (Phase.DRAINING, LIVE, 2_001, Own("n9", 1), Phase.OUT),
-        (Phase.DRAINING, DEAD, 0, Own("n9", 1), Phase.OUT),
+        (Phase.DRAINING, LIVE, 0, LocalSoftswitch("n1", 1, idle=True), Phase.OUT),
+        (
+            Phase.DRAINING,
+            LIVE,
+            0,
+            LocalSoftswitch("n9", 1, idle=True),
+            None,
+        ),  # another one's idleness is not its own
+        (Phase.DRAINING, LIVE, 2_001, LocalSoftswitch("n9", 1), Phase.OUT),
+        (Phase.DRAINING, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.OUT, LIVE, 9e9, ME, None),  # no time ends work
-        (Phase.OUT, DEAD, 9e9, Own("n9", 1), None),
-        (Phase.OUT, REBORN, 0, Own("n9", 1), Phase.RETURNING),
+        (Phase.OUT, DEAD, 9e9, LocalSoftswitch("n9", 1), None),
+        (Phase.OUT, REBORN, 0, LocalSoftswitch("n9", 1), Phase.RETURNING),
         (Phase.RETURNING, LIVE, 2_999, ME, None),
         (Phase.RETURNING, LIVE, 3_001, ME, Phase.DONE),
-        (Phase.RETURNING, DEAD, 0, Own("n9", 1), Phase.OUT),
+        (Phase.RETURNING, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.DONE, LIVE, KEEP_MS - 1, ME, None),
     ],
 )
 def test_the_life_of_a_turn(
-    phase: Phase, there: Machine | None, waited_ms: float, own: Own, to: Phase | None
+    phase: Phase, there: Machine | None, waited_ms: float, own: LocalSoftswitch, to: Phase | None
 ) -> None:
     step = stepped(slot(1, phase=phase, grant=1), there, waited_ms, own)
     assert (step.to if step else None) is to
@@ -167,23 +177,23 @@
 
 def test_nothing_is_tried_on_a_lease_that_may_have_ended_or_an_old_picture() -> None:
     held, seen = slot(1), {("t1", 11): 0.0}
-    assert steps.next_step(slots(held), FLEET, Own("n1", 1, may_act=False), seen, 0.0) is None
-    assert steps.next_step(slots(held), Fleet(FLEET.machines, fresh=False), ME, seen, 0.0) is None
+    assert steps.next_step(slots(held), FLEET, LocalSoftswitch("n1", 1, may_act=False), seen, 0.0) is None
+    assert steps.next_step(slots(held), Fleet(FLEET.machines, is_fresh=False), ME, seen, 0.0) is None
 
 
 def test_a_turn_that_is_done_is_forgotten_after_a_while() -> None:
     step = stepped(slot(1, phase=Phase.DONE, grant=1), LIVE, KEEP_MS + 1)
-    assert step is not None and step.to is None and step.attempt.writes[0].value is None
+    assert step is not None and step.to is None and step.transaction.writes[0].value is None
 
 
 @pytest.mark.parametrize("phase", list(Phase))
 def test_what_operators_may_say_at_each_phase(phase: Phase) -> None:
     there = slots(slot(1, phase=phase))
     if phase is Phase.OUT:
-        assert steps.come_back(there, "t1").to is Phase.RETURNING
+        assert steps.mark_returned(there, "t1").to is Phase.RETURNING
     else:
         with pytest.raises(MaintenanceError):
-            steps.come_back(there, "t1")
+            steps.mark_returned(there, "t1")
     if phase in (Phase.OUT, Phase.RETURNING):
         with pytest.raises(MaintenanceError):
             steps.cancel(there, "t1")
@@ -194,11 +204,11 @@
 
 def test_a_machine_has_one_turn_and_the_queue_has_an_end() -> None:
     with pytest.raises(MaintenanceError, match="has turn t1 already"):
-        records.request(slots(slot(1)), [slot(2, "n1").slot])
+        records.request_slots(slots(slot(1)), [slot(2, "n1").slot])
     with pytest.raises(MaintenanceError, match="twice"):
-        records.request(slots(), [slot(1, "n1").slot, slot(2, "n1").slot])
+        records.request_slots(slots(), [slot(1, "n1").slot, slot(2, "n1").slot])
     with pytest.raises(MaintenanceError, match="full"):
-        records.request(slots(*(slot(at) for at in range(records.MOST_SLOTS))), [slot(9999).slot])
+        records.request_slots(slots(*(slot(at) for at in range(records.MOST_SLOTS))), [slot(9999).slot])
 
 
 def test_limits_of_a_higher_edition_hold() -> None:
@@ -215,13 +225,13 @@
     held = [slot(at, zone=zone, urgent=urgent) for at, (urgent, zone) in enumerate(asked)]
     there, back = slots(*held, last_zone=last), slots(*reversed(held), last_zone=last)
     assert queue(there) == queue(back)
-    assert sorted(one.mod for one in queue(there)) == sorted(one.mod for one in held)
+    assert sorted(one.mod_revision for one in queue(there)) == sorted(one.mod_revision for one in held)
 
 
 @given(st.integers(1, 40), st.text("0123456789abcdef", min_size=8, max_size=8))
 def test_softswitches_try_a_step_one_after_another(count: int, name: str) -> None:
     acting = [f"n{at}" for at in range(count)]
-    waits_ms = sorted(pace.patience_ms(name, one, acting) for one in acting)
-    assert waits_ms[0] == 0.0 and waits_ms[-1] <= pace.PATIENCE_MOST_MS
+    waits_ms = sorted(timing.contention_delay_ms(name, one, acting) for one in acting)
+    assert waits_ms[0] == 0.0 and waits_ms[-1] <= timing.PATIENCE_MOST_MS
     assert len(set(waits_ms)) == min(count, 15), "in steps, up to the longest"
-    assert pace.patience_ms(name, "stranger", acting) == pace.PATIENCE_MOST_MS
+    assert timing.contention_delay_ms(name, "stranger", acting) == timing.PATIENCE_MOST_MS
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -17,12 +17,12 @@
     run_state_machine_as_test,
 )
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.core.ends import End
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.core.outcomes import CallOutcome
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
-from pearloom.rollout.evidence import Tally, added, stage_mark
+from pearloom.rollout.evidence import Tally, added, stage_id
 from pearloom.rollout.steps import RolloutStep, Seen, next_step
 from pearloom.rules import head as heads
 from pearloom.rules.head import Head, Operation, Request, Terms, follows, read_there
@@ -31,7 +31,7 @@
 ZONES = {"n1": "a", "n2": "b", "n3": "b"}
 TERMS = Terms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
 names = st.sampled_from(sorted(ZONES))
-ends = st.sampled_from([End.STOOD, End.STOOD, End.LATE, End.FAILED])
+ends = st.sampled_from([CallOutcome.STOOD, CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.FAILED])
 
 
 class Softswitch:
@@ -51,7 +51,7 @@
             return
         self.obeyed = head
         rollout = head.rollout
-        mark = stage_mark(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
+        mark = stage_id(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
         if mark != self.tally.stage:
             self.tally, self.began, self.told = Tally(("a",), mark, now, 1_000.0), now, 0
             self.heard = {}
@@ -70,9 +70,9 @@
         self.calls: dict[int, int] = {}  # made in each stage, by its mark
         self.highest, self.halted = 0, set[int]()
 
-    def write(self, attempt: Attempt) -> bool:
+    def write(self, attempt: Transaction) -> bool:
         if self.blind:
-            attempt = Attempt((), attempt.writes)
+            attempt = Transaction((), attempt.writes)
         after = apply(self.store, attempt)
         if after is None:
             return False
@@ -97,11 +97,11 @@
             one.heard[other] = self.now
 
     @rule(name=names, ends=st.lists(ends, max_size=8))
-    def takes_calls(self, name: str, ends: list[End]) -> None:
+    def takes_calls(self, name: str, ends: list[CallOutcome]) -> None:
         one = self.fleet[name]
         version = one.obeyed.runs(name) if one.obeyed else EMPTY
         for end in ends:
-            one.tally.ended(version, one.tally.mark(self.now), 0, end, 10.0, self.now)
+            one.tally.record_end(version, one.tally.arrival_mark(self.now), 0, end, 10.0, self.now)
         if one.tally.stage:
             self.calls[one.tally.stage] = self.calls.get(one.tally.stage, 0) + len(ends)
 
@@ -114,7 +114,7 @@
         held = one.read.find(key)
         value = one.tally.evidence(one.life, one.told + 1, ZONES[name], 0, self.now)
         write = Write(key, evidence.encode(value))
-        if self.write(Attempt((Compare(key, held.mod if held else 0),), (write,))) and not lost:
+        if self.write(Transaction((Compare(key, held.mod_revision if held else 0),), (write,))) and not lost:
             one.told += 1
             one.read = self.store
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -80,7 +80,7 @@
     status: int, why: str, ending: api.Ending, processor_full: bool, no_line: bool
 ) -> None:
     error = refusal(status, why)
-    assert (error.proves(), error.processor_full, error.no_line) == (ending, processor_full, no_line)
+    assert (error.implied_ending(), error.processor_full, error.no_line) == (ending, processor_full, no_line)
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
 def test_without_an_ending_progress_decides_what_an_error_proves(
     progress: Progress, ending: api.Ending
 ) -> None:
-    assert AttemptError(progress, "").proves() is ending
+    assert AttemptError(progress, "").implied_ending() is ending
 
 
 def test_nested_settings_read_like_the_flat_ones_of_the_adapter() -> None:
