--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -23,7 +23,9 @@
 from pearloom.core.logs import log_event
 from pearloom.core.set_up_validation import SetUpValidator
 
-CONNECTIONS_SHARE = 0.6  # of the descriptors; callers hold a third at most, the rest is for servers and files
+CONNECTIONS_SHARE = (
+    0.6  # of the descriptors that callers' connections may hold; the rest is for servers and files
+)
 BASE_MB = 14.0  # memory of the program without any connection
 CONNECTION_MB = 0.04  # memory of one connection; all of them may take half of what is left
 LISTEN_BACKLOG = 512
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -173,7 +173,7 @@
         return len(self.listed_servers())
 
     def withdraw_unsent(self) -> None:
-        """End attempts of which no byte has been sent to servers that are not ready."""
+        """End the attempts at servers that are not ready of which no byte has been sent."""
         for trunk in list(self._trunks.values()):
             if not trunk.is_ready:
                 trunk.withdraw_unsent()
