--- a/benchmarks/guards/calls.py
+++ b/benchmarks/guards/calls.py
@@ -14,7 +14,7 @@
 COLD, SETTINGS, BAD = "tests/test_cold_starts.py", "tests/test_generated_settings.py", "tests/test_program.py"
 
 CALLS = (
-    Guard("the caller is there right before the send", "core/exchange.py", "        if not call.caller.is_connected:\n            self._turn_away(call)\n            return False\n", "", (CALLER,)),
+    Guard("the caller is there right before the send", "core/exchange.py", "        if not call.caller.is_connected:\n            self._refuse(call)\n            return False\n", "", (CALLER,)),
     Guard("the time is not over right before the send", "core/exchange.py", "if self._clock.now_ms() >= call.sent_ms + call.timeout_ms:", "if False:", (SERVER,)),
     Guard("a set-up behind a close is not offered", "core/exchange.py", " or not caller.is_connected:", ":", (CALLER,)),
     Guard("a half-closed caller that waits is refused", "binary/connection.py", "            self._side.exchange.handle_caller_eof(call)\n", "            pass\n", (CALLER,)),
--- a/pearloom/core/__init__.py
+++ b/pearloom/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every part stands on: the exchange, connections, time, errors, counters, logs, configuration."""
+"""Core of the softswitch: exchange, connections, clock, errors, counters, logs and configuration."""
--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -1,6 +1,6 @@
-"""What passes between callers, the exchange and the session servers: offers, attempts, media, and both sides.
+"""Calls, set-ups, media, and the interfaces through which the exchange and its two sides call each other.
 
-Values and protocols alone: it knows no socket and decides nothing.
+Data types and protocols only: nothing here uses a socket or makes a decision.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 @dataclass(slots=True)
 class SetUpRequest:
-    """A set-up as a caller brought it; the description is dropped once the answer has been given."""
+    """A set-up as its caller sent it; the description is dropped once the call has been answered."""
 
-    call: str
-    class_index: int
+    call: str  # the call's id
+    class_index: int  # of its call class in the settings
     class_name: str
-    number: str
+    number: str  # called number
     description: bytes
-    patience_ms: float
-    first_choice: int
-    was_cut: bool = False
-    tenant: int = -1  # its place in the settings; -1: the call is nobody's
-    codec: int = 0  # what the caller's media are in, as RFC 5456 (8.7) numbers codecs; 0: none come this way
+    patience_ms: float  # for which the caller waits for the answer
+    first_choice: int  # as the caller sent it; -1: none
+    was_cut: bool = False  # the caller redials a call that was cut
+    tenant: int = -1  # index in the settings; -1: the call belongs to no tenant
+    codec: int = 0  # of the caller's media, as RFC 5456 (8.7) numbers codecs; 0: no media on this connection
 
 
 @dataclass(slots=True)
 class SetUpAttempt:
-    """One attempt to be sent; the offer goes on unchanged."""
+    """One attempt to set up a call at a session server; the caller's request is passed on unchanged."""
 
     request: SetUpRequest
     attempt: int
@@ -44,7 +44,7 @@
 
 
 class MediaKind(Enum):
-    """What a piece of media is."""
+    """Type of a piece of media."""
 
     VOICE = "voice"
     DIGIT = "digit"
@@ -52,102 +52,102 @@
 
 @dataclass(frozen=True, slots=True)
 class Media:
-    """One piece of what is said in a standing call, where a protocol carries that beside the signalling."""
+    """One frame of media in an established call, for protocols that carry media beside the signalling."""
 
     kind: MediaKind
     codec: int  # as RFC 5456 (8.7) numbers them
-    timestamp_ms: int  # since its leg began
+    timestamp_ms: int  # since the start of its leg
     payload: bytes
 
 
 class Caller(Protocol):
-    """Whoever brought a call and is owed its one final answer."""
+    """The sender of a set-up, which is owed one final answer."""
 
     @property
     def is_connected(self) -> bool:
-        """Is it still connected, as far as can be seen at this moment?"""
+        """Report whether the caller is still connected, as far as can be seen at this moment."""
 
     def send_answer(self, call: str, description: bytes) -> None:
-        """The call stands; pass the server's description on."""
+        """Report that the call is established, with the server's description."""
 
     def send_refusal(self, call: str, stay_away_ms: float) -> None:
-        """Turned away: trying again is harmless, after that time if it is above 0."""
+        """Refuse the call; the caller may redial, after `stay_away_ms` where that is above 0."""
 
     def send_failure(self, call: str) -> None:
-        """Given up."""
+        """Report that the call failed."""
 
     def send_media(self, call: str, media: Media) -> None:
-        """The server's side says something in this standing call."""
+        """Send media that came from the server of an established call."""
 
 
 class NullCaller:
-    """Stands for the caller of an inherited call: who brought it is not known here."""
+    """Takes the place of the caller of an inherited call, which is not known to this process."""
 
     is_connected = True
 
     def send_answer(self, call: str, description: bytes) -> None:
-        """Nobody is told."""
+        """Do nothing."""
 
     def send_refusal(self, call: str, stay_away_ms: float) -> None:
-        """Nobody is told."""
+        """Do nothing."""
 
     def send_failure(self, call: str) -> None:
-        """Nobody is told."""
+        """Do nothing."""
 
     def send_media(self, call: str, media: Media) -> None:
-        """Nobody hears it."""
+        """Drop the media."""
 
 
 class CallerSide(Protocol):
-    """All callers."""
+    """The part of the softswitch that is connected with the callers."""
 
     def release(self, call: str, cause: int, caller: Caller | None) -> None:
-        """A call that stood is over; any caller may be told, best the one that brought it."""
+        """Send the release of an established call, to `caller` where possible, else to any other caller."""
 
 
 class ServerSide(Protocol):
-    """All session servers."""
+    """The part of the softswitch that is connected with the session servers."""
 
     def update_servers(self, servers: Sequence[Server], whole: bool) -> None:
-        """The pool list changed."""
+        """Apply a pool list; `whole`: servers that it does not name are dropped."""
 
     @property
     def discovered(self) -> int:
-        """How many are in the list."""
+        """Number of servers in the pool list."""
 
     def withdraw_unsent(self) -> None:
-        """End every attempt that has not left yet for a server that may get no new set-up."""
+        """End every attempt that is not yet sent and whose server may get no new set-up."""
 
     def set_up(self, server: str, set_up: SetUpAttempt) -> None:
-        """Send an attempt; its end or answer comes back to the exchange."""
+        """Send an attempt; its answer or its ending is reported to the exchange."""
 
     def give_up(self, server: str, call: str) -> Progress | None:
-        """End the attempt that is out; no answer comes of it any more.
+        """End the attempt in progress; no answer is reported for it any more.
 
-        Returns how far it had come. None: the server may still be at work on it; `Exchange.attempt_ended`
-        follows within a second."""
+        Returns how far it had come. None: the server may still be processing it;
+        `Exchange.attempt_ended` is called within a second."""
 
     def release(self, server: str | None, call: str, number: str, cause: int) -> None:
-        """Release a standing call; None where only a session server can know it."""
+        """Release an established call; `server` is None where only a session server can know the call."""
 
     def send_media(self, server: str, call: str, media: Media) -> None:
-        """Pass on what a caller says in a standing call."""
+        """Send media that came from the caller of an established call."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One call of this life, from its set-up until it is over."""
+    """One call of this process, from its set-up until it is released. Times are Unix time in ms."""
 
     request: SetUpRequest
     caller: Caller
-    attempts: int = 0
-    current: int = -1
-    server: str = ""
+    attempts: int = 0  # so far
+    open_attempt: int = -1  # number of the attempt in progress; -1: none
+    server: str = ""  # of the latest attempt
     arrived_ms: float = 0.0
     sent_ms: float = 0.0
-    timeout_ms: float = 0.0  # of the attempt that is out, from `sent_ms` on
-    stood_ms: float = 0.0
+    timeout_ms: float = 0.0  # of the attempt in progress, counted from `sent_ms`
+    established_ms: float = 0.0
     answered: bool = False  # the final answer was given, or none is owed
-    stands: bool = False
-    given_up: Ending | None = None  # the attempt that is out was given up, and its end is still to come
-    way: CallRoute | None = None  # what the fleet's routing rules said of it at its arrival
+    is_established: bool = False
+    abandoned_as: Ending | None = None  # set while an abandoned attempt's end is still to be reported
+    call_route: CallRoute | None = None  # given by the fleet's routing rules when the call arrived
--- a/pearloom/core/established.py
+++ b/pearloom/core/established.py
@@ -1,4 +1,4 @@
-"""The calls that stand, by the server at which they do."""
+"""The established calls, by the server at which they are established."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 
 class EstablishedCalls:
-    """Holds each call from when it stands until it is over; its owner, the exchange, puts and drops."""
+    """Indexes the established calls by server; the exchange adds and removes them."""
 
     def __init__(self) -> None:
-        """No call stands."""
+        """Start empty."""
         self._by_server: dict[str, dict[str, Call]] = {}
 
     def __len__(self) -> int:
-        """Calls that stand."""
+        """Return the number of established calls."""
         return sum(len(calls) for calls in self._by_server.values())
 
-    def put(self, call: Call) -> None:
-        """It stands at its server from now on."""
+    def add(self, call: Call) -> None:
+        """Add a call at its server."""
         self._by_server.setdefault(call.server, {})[call.request.call] = call
 
-    def drop(self, call: Call) -> None:
-        """It is over."""
+    def remove(self, call: Call) -> None:
+        """Remove a call that has ended."""
         self._by_server[call.server].pop(call.request.call, None)
 
     def at(self, server: str) -> dict[str, Call]:
-        """Those at this server."""
+        """Return the calls at this server, by id."""
         return self._by_server.get(server, {})
 
-    def listed(self) -> Iterator[tuple[str, str, str, float]]:
-        """Each call that stands: its id, its server, the number called, since when."""
+    def entries(self) -> Iterator[tuple[str, str, str, float]]:
+        """Yield the id, server, called number and time of answer (Unix ms) of each call."""
         for server, calls in self._by_server.items():
-            for name, call in calls.items():
-                yield name, server, call.request.number, call.stood_ms
+            for call_id, call in calls.items():
+                yield call_id, server, call.request.number, call.established_ms
 
     def callers(self) -> Iterator[Caller]:
-        """Who brought them, at each server the youngest call first."""
+        """Yield the caller of each call, at each server the newest call first."""
         for calls in self._by_server.values():
             for call in reversed(calls.values()):
                 yield call.caller
--- a/pearloom/core/outcomes.py
+++ b/pearloom/core/outcomes.py
@@ -1,4 +1,4 @@
-"""How calls end, in the words in which rules are judged. Values only: no I/O."""
+"""Outcomes of calls, as the rollout of routing rules evaluates them."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class CallOutcome(Enum):
-    """How a call's set-up ended, and after it stood the call itself."""
+    """How a call's set-up ended, and after an answer how the call itself ended."""
 
-    STOOD = "stood"  # within its aim
-    LATE = "late"  # stood after its aim
+    STOOD = "stood"  # answered within the aim of its class
+    LATE = "late"  # answered after the aim of its class
     REFUSED = "refused"
     FAILED = "failed"
-    ENDED = "ended"  # a call that stood was released
-    CUT = "cut"  # a call that stood was lost with its server or connection
+    ENDED = "ended"  # an established call was released
+    CUT = "cut"  # an established call was lost with its server or connection
--- a/pearloom/core/recent.py
+++ b/pearloom/core/recent.py
@@ -1,4 +1,4 @@
-"""Ids, and values by id, that are remembered for a while."""
+"""Ids, and values by id, that are kept for a limited time."""
 
 from __future__ import annotations
 
@@ -9,48 +9,48 @@
 
 
 class RecentIds:
-    """At most so many names, each for so long; the oldest goes first."""
+    """A set of ids bounded in size and age; the oldest is dropped first."""
 
-    def __init__(self, most: int, for_ms: float) -> None:
-        """Nothing is remembered."""
-        self._most, self._for_ms = most, for_ms
-        self._since: OrderedDict[str, float] = OrderedDict()
+    def __init__(self, max_ids: int, ttl_ms: float) -> None:
+        """Start empty; `ttl_ms`: for how long an id is kept."""
+        self._max_ids, self._ttl_ms = max_ids, ttl_ms
+        self._added: OrderedDict[str, float] = OrderedDict()
 
-    def __contains__(self, name: str) -> bool:
-        """Is it remembered?"""
-        return name in self._since
+    def __contains__(self, key: str) -> bool:
+        """Report whether the id is kept."""
+        return key in self._added
 
-    def add(self, name: str, now_ms: float) -> None:
-        """Remember a name, and let go of what is too old or too many."""
-        self._since[name] = now_ms
-        while len(self._since) > self._most or next(iter(self._since.values())) < now_ms - self._for_ms:
-            self._since.popitem(last=False)
+    def add(self, key: str, now_ms: float) -> None:
+        """Add an id, and drop those that are too old or too many."""
+        self._added[key] = now_ms
+        while len(self._added) > self._max_ids or next(iter(self._added.values())) < now_ms - self._ttl_ms:
+            self._added.popitem(last=False)
 
 
 class RecentValues(Generic[T]):
-    """Values by name, each kept for so long; one that is put again counts from then."""
-
-    def __init__(self, for_ms: float) -> None:
-        """Nothing is kept."""
-        self._for_ms = for_ms
-        self._held: OrderedDict[str, tuple[T, float]] = OrderedDict()
-
-    def put(self, name: str, value: T, now_ms: float) -> None:
-        """Keep a value, and let go of what is too old."""
-        self._held.pop(name, None)
-        self._held[name] = (value, now_ms)
-        while next(iter(self._held.values()))[1] < now_ms - self._for_ms:
-            self._held.popitem(last=False)
-
-    def pop(self, name: str) -> T | None:
-        """Give a value back, and keep it no more."""
-        found = self._held.pop(name, None)
+    """Values by id, each kept for a limited time from when it was last put."""
+
+    def __init__(self, ttl_ms: float) -> None:
+        """Start empty; `ttl_ms`: for how long a value is kept."""
+        self._ttl_ms = ttl_ms
+        self._values: OrderedDict[str, tuple[T, float]] = OrderedDict()
+
+    def put(self, key: str, value: T, now_ms: float) -> None:
+        """Store a value, and drop those that are too old."""
+        self._values.pop(key, None)
+        self._values[key] = (value, now_ms)
+        while next(iter(self._values.values()))[1] < now_ms - self._ttl_ms:
+            self._values.popitem(last=False)
+
+    def pop(self, key: str) -> T | None:
+        """Remove a value and return it; None where there is none."""
+        found = self._values.pop(key, None)
         return None if found is None else found[0]
 
     def unexpired(self, now_ms: float) -> list[T]:
-        """What is not too old, the oldest first."""
-        return [value for value, since in self._held.values() if since >= now_ms - self._for_ms]
+        """Return the values that are not too old, the oldest first."""
+        return [value for value, put_ms in self._values.values() if put_ms >= now_ms - self._ttl_ms]
 
     def clear(self) -> None:
-        """Keep nothing."""
-        self._held.clear()
+        """Drop all values."""
+        self._values.clear()
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -1,4 +1,4 @@
-"""How calls end, told to all that count it: operators' figures, counters, the log, and the fleet's rules."""
+"""Reports how calls end to the operators' metrics, the counters, the log and the fleet's routing rules."""
 
 from __future__ import annotations
 
@@ -17,74 +17,74 @@
 
 
 class OutcomeReporter:
-    """Nothing here changes a call."""
+    """Reports each outcome where it is counted; changes no call."""
 
     def __init__(
-        self, clock: Clock, counters: Counters, figures: Metrics, classes: Sequence[api.CallClass]
+        self, clock: Clock, counters: Counters, metrics: Metrics, classes: Sequence[api.CallClass]
     ) -> None:
-        """Nothing has ended."""
-        self._clock, self.counters, self.figures = clock, counters, figures
-        self._aims_us = [kind.aim_us for kind in classes]
+        """Start without a router."""
+        self._clock, self.counters, self.metrics = clock, counters, metrics
+        self._aims_us = [call_class.aim_us for call_class in classes]
         self.router: Router | None = None  # set where the fleet has routing rules
 
-    def route_for(self, offer: SetUpRequest) -> CallRoute | None:
-        """The way that the rules of this moment give a call, where there are any."""
-        return self.router.route_for(offer) if self.router is not None else None
+    def route_for(self, request: SetUpRequest) -> CallRoute | None:
+        """Return the route that the rules in force give a call, or None where there are no rules."""
+        return self.router.route_for(request) if self.router is not None else None
 
-    def unseen(self, offer: SetUpRequest) -> None:
-        """Refused before anything was decided of it."""
+    def report_unregistered(self, request: SetUpRequest) -> None:
+        """Count a set-up that was refused before the decision module received it."""
         self.counters.add("refused_unseen")
-        self.figures.declined(offer.class_index)
+        self.metrics.count_declined(request.class_index)
 
-    def refused(self, call: Call) -> None:
-        """The final answer: not here, not now."""
+    def report_refused(self, call: Call) -> None:
+        """Report that the final answer was a refusal."""
         self.counters.add("refusals_out")
-        self.figures.declined(call.request.class_index)
-        self._tell(call, CallOutcome.REFUSED)
+        self.metrics.count_declined(call.request.class_index)
+        self._report_to_router(call, CallOutcome.REFUSED)
 
-    def failed(self, call: Call) -> None:
-        """The final answer: it came to nothing."""
+    def report_failed(self, call: Call) -> None:
+        """Report that the final answer was a failure."""
         self.counters.add("failures_out")
-        self.figures.aborted(call.request.class_index)
-        self._tell(call, CallOutcome.FAILED)
+        self.metrics.count_aborted(call.request.class_index)
+        self._report_to_router(call, CallOutcome.FAILED)
 
-    def stood(self, call: Call) -> None:
-        """The final answer: it stands. One after the aim of its class has a line of where its time went."""
+    def report_answered(self, call: Call) -> None:
+        """Report that the call was established; log the times of an answer after the aim of its class."""
         self.counters.add("answers_out")
-        self.figures.succeeded(call.request.class_index)
+        self.metrics.count_succeeded(call.request.class_index)
         now = self._clock.now_ms()
         took_ms = now - call.arrived_ms
-        late = took_ms * 1000.0 > self._aims_us[call.request.class_index]
-        if late:
+        is_late = took_ms * 1000.0 > self._aims_us[call.request.class_index]
+        if is_late:
             self.counters.add("answers_late")
             log_event(
                 logging.INFO, "answer_late", call=call.request.call, server=call.server,
                 attempts=call.attempts, ms=took_ms, last_attempt_ms=now - call.sent_ms,
                 first_choice=call.request.first_choice,
             )  # fmt: skip
-        self._tell(call, CallOutcome.LATE if late else CallOutcome.STOOD)
+        self._report_to_router(call, CallOutcome.LATE if is_late else CallOutcome.STOOD)
 
-    def over(self, call: Call, ending: Ending) -> None:
-        """A call that stood is over."""
-        self._tell(call, CallOutcome.CUT if ending is Ending.RESET else CallOutcome.ENDED)
+    def report_ended(self, call: Call, ending: Ending) -> None:
+        """Report the end of an established call."""
+        self._report_to_router(call, CallOutcome.CUT if ending is Ending.RESET else CallOutcome.ENDED)
 
-    def _tell(self, call: Call, end: CallOutcome) -> None:
-        if self.router is not None and call.way is not None:
+    def _report_to_router(self, call: Call, outcome: CallOutcome) -> None:
+        if self.router is not None and call.call_route is not None:
             self.router.record_outcome(
-                call.way, call.request.class_index, end, self._clock.now_ms() - call.arrived_ms
+                call.call_route, call.request.class_index, outcome, self._clock.now_ms() - call.arrived_ms
             )
 
-    def attempt(
-        self, call: Call, attempt: int, ending: Ending, over: bool, error: AttemptError | None = None
+    def attempt_event(
+        self, call: Call, attempt: int, ending: Ending, call_over: bool, error: AttemptError | None = None
     ) -> api.AttemptEnded:
-        """An attempt's end, as the decision module hears of it."""
+        """Return the end of an attempt as an event for the decision module."""
         return api.AttemptEnded(
             call=call.request.call,
             attempt=attempt,
             server=call.server,
             ending=ending,
             took_us=round((self._clock.now_ms() - call.sent_ms) * 1000),
-            call_over=over,
+            call_over=call_over,
             processor_full=error is not None and error.processor_full,
             no_line=error is not None and error.no_line,
             line_only=error is not None and error.line_only,
--- a/pearloom/core/routing.py
+++ b/pearloom/core/routing.py
@@ -1,6 +1,7 @@
-"""What a host of routing rules is to the exchange: it says each call's way, and hears how each one ended.
+"""The exchange's interface to the host of the routing rules.
 
-Values and a protocol alone; without such a host every call has the way that the decision module gives it.
+The host gives each call its route and receives the call's outcome. Without a host, the decision module alone
+chooses the route of every call. Data types and a protocol only.
 """
 
 from __future__ import annotations
@@ -15,18 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRoute:
-    """A call's way: the version of the rules that it arrived under, and what they say of it."""
+    """A call's route: the version of the rules in force at its arrival, and the route that they give it."""
 
     version: str
     route: api.Route | None
-    mark: int = 0  # whatever the host keeps with a call from its arrival
+    mark: int = 0  # stored by the host with each call at its arrival
 
 
 class Router(Protocol):
-    """Asked once for each call, at its arrival; nothing of it may wait."""
+    """Called for each call at its arrival and with its outcomes; the methods must not block."""
 
-    def route_for(self, offer: SetUpRequest) -> CallRoute:
-        """The way that the rules of this moment give this call."""
+    def route_for(self, request: SetUpRequest) -> CallRoute:
+        """Return the route that the rules in force give this call."""
 
-    def record_outcome(self, way: CallRoute, kind: int, end: CallOutcome, took_ms: float) -> None:
-        """One end of a call that arrived under these rules; `took_ms` from its arrival."""
+    def record_outcome(
+        self, call_route: CallRoute, class_index: int, outcome: CallOutcome, took_ms: float
+    ) -> None:
+        """Record an outcome of a call with this route; `took_ms` counts from the call's arrival."""
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -42,7 +42,7 @@
     clock, counters, servers = _Clock(), Counters(), _Servers()
     exchange = Exchange(clock, settings(), 7, counters, Metrics(("a", "b")), 1.0, 64.0)
     exchange.attach(None, servers)  # type: ignore[arg-type]  # no caller is told anything here
-    exchange._tell(api.PoolList(api.ListKind.CACHED, (entry("s-00000001", 0),)))
+    exchange._submit(api.PoolList(api.ListKind.CACHED, (entry("s-00000001", 0),)))
     monkeypatch.setattr(logging.getLogger("pearloom"), "propagate", True)
     with caplog.at_level(logging.INFO, "pearloom"):
         exchange.handle_set_up(SetUpRequest("c1", 0, "a", "1", b"x", 6_000.0, 0), NullCaller())
