--- a/pearloom/core/connection.py
+++ b/pearloom/core/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: a greenlet that reads, one that writes, and a bounded queue between."""
+"""A TCP connection with a reading greenlet, a writing greenlet and a bounded queue of outbound messages."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 from pearloom.core.errors import Progress
 from pearloom.core.logs import log_event, log_exception
 
-READ_BYTES = 64 * 1024
-MOST_QUEUED = 128 * 1024  # bytes: what a reader may be behind; 400 such connections still fit the memory
-BATCH_BYTES = 32 * 1024  # written by one call
-WRITE_S = 2.0  # a peer that takes nothing for this long is as good as gone
-LAST_READ_S = 0.05  # after a failed write: what the peer sent before its close is there by then
+READ_BYTES = 64 * 1024  # read by one system call
+MAX_QUEUED_BYTES = 128 * 1024  # 400 connections with a full queue still fit the memory
+BATCH_BYTES = 32 * 1024  # written by one system call
+WRITE_TIMEOUT_S = 2.0  # a peer that accepts nothing for this long is considered gone
+FINAL_READ_S = 0.05  # after a failed write: by then, what the peer sent before its close has arrived
 _PEER_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class OutboundMessage:
-    """Bytes to be written; knows how far they have come."""
+    """A message to be written, and how much of it has been sent."""
 
     __slots__ = ("call", "data", "progress", "withdrawn")
 
     def __init__(self, data: bytes, call: str = "") -> None:
-        """A message that concerns `call`, if any."""
+        """Create a message that concerns the call with this id, if any."""
         self.data = data
         self.call = call
         self.progress = Progress.NOT_DIALLED
         self.withdrawn = False
 
     def on_written(self) -> None:
-        """Its last byte has left."""
+        """Handle that the last byte was written."""
 
     def may_send(self) -> bool:
-        """Asked right before the first byte is written: is this message still wanted?
+        """Decide, right before the first byte is written, whether this message is still wanted.
 
-        A message that is not has been withdrawn by the time that this returns False."""
+        A message that is not wanted has been withdrawn by the time this returns False."""
         return True
 
 
 class Connection:
-    """Owns a connected socket until either side ends it; exceptions stop here."""
+    """Owns a connected socket until either side ends it; no exception propagates to the caller."""
 
     def __init__(
         self,
@@ -56,51 +56,54 @@
         on_close: Callable[[str, list[OutboundMessage]], None],
         read_bytes: int = READ_BYTES,
     ) -> None:
-        """`on_end`: the peer sends no more. `on_close`: all is over; what was not written comes with it."""
+        """Take a connected socket.
+
+        `on_end`: the peer sends no more data. `on_close`: the connection is closed, with the reason and the
+        messages that were not written."""
         sock.setsockopt(plain_socket.IPPROTO_TCP, plain_socket.TCP_NODELAY, 1)
         self._sock = sock
         self._on_data, self._on_end, self._on_close = on_data, on_end, on_close
         self._read_bytes = read_bytes
         self._queue: deque[OutboundMessage] = deque()
-        self._queued = 0
-        self._sent_of_first = 0  # bytes of the first message that have left
-        self._ready = Event()
-        self._finishing = False
-        self._writes = False
+        self._queued_bytes = 0
+        self._first_sent_bytes = 0  # of the first message in the queue
+        self._writer_wake_up = Event()
+        self._is_finishing = False
+        self._has_writer = False
         self.closed = False
 
     def start(self) -> None:
-        """Begin to read; a writer is there from the first message on."""
-        gevent.spawn(self._guard, self._read)
+        """Start to read; the writer starts with the first message."""
+        gevent.spawn(self._run, self._read)
 
     def send(self, outbound: OutboundMessage) -> None:
-        """Queue a message; a peer that is too far behind is cut off instead."""
+        """Queue a message, or close the connection to a peer that reads too slowly."""
         outbound.progress = Progress.CONNECTING
         self._queue.append(outbound)
-        self._queued += len(outbound.data)
-        if self._queued > MOST_QUEUED:
+        self._queued_bytes += len(outbound.data)
+        if self._queued_bytes > MAX_QUEUED_BYTES:
             # Guards against a slow reader that fills the memory.
             self.close("reader too slow")
         self._wake_writer()
 
     def finish(self) -> None:
-        """Close once all that is queued has been written."""
-        self._finishing = True
+        """Close once all queued messages have been written."""
+        self._is_finishing = True
         self._wake_writer()
 
     def _wake_writer(self) -> None:
-        self._ready.set()
-        if not self._writes:
-            self._writes = True
-            gevent.spawn(self._guard, self._write)
+        self._writer_wake_up.set()
+        if not self._has_writer:
+            self._has_writer = True
+            gevent.spawn(self._run, self._write)
 
     def close(self, reason: str) -> None:
-        """Close now."""
+        """Close immediately; `on_close` gets the messages that were not written."""
         if self.closed:
             return
         self.closed = True
         self._sock.close()
-        self._ready.set()
+        self._writer_wake_up.set()
         unsent = [outbound for outbound in self._queue if not outbound.withdrawn]
         self._queue.clear()
         try:
@@ -108,46 +111,46 @@
         except Exception:
             log_exception("connection_close_failed")
 
-    def _guard(self, work: Callable[[], None]) -> None:
-        """Exceptions stop here: they end this connection, and the program goes on."""
+    def _run(self, work: Callable[[], None]) -> None:
+        """Run a greenlet's work; an exception ends this connection only, not the program."""
         try:
             work()
-        except OSError as trouble:
-            self.close(_reason(trouble))
+        except OSError as error:
+            self.close(_reason(error))
         except Exception:
             log_exception("connection_failed")
-            self.close("failed here")
+            self.close("internal error")
 
     @property
     def is_busy(self) -> bool:
-        """Is something still to be written, or has something come that was not read yet?"""
-        return bool(self._queue) or (not self.closed and self._polled(select.POLLIN) != 0)
+        """Report whether data waits to be written or to be read."""
+        return bool(self._queue) or (not self.closed and self._poll(select.POLLIN) != 0)
 
     @property
     def peer_ended(self) -> bool:
-        """Has the peer closed its side, or the connection broken, be it that nobody has read so far yet?
+        """Report whether the peer has closed its side or the connection is broken, even if not yet read.
 
-        Guards against work for a peer whose close stands behind bytes that are still to be read."""
-        return self.closed or self._polled(select.POLLRDHUP) & _PEER_ENDED != 0
+        Guards against work for a peer whose close follows bytes that are still to be read."""
+        return self.closed or self._poll(select.POLLRDHUP) & _PEER_ENDED != 0
 
-    def _polled(self, events: int) -> int:
-        """What the system says of the socket at this moment; nothing is waited for."""
+    def _poll(self, events: int) -> int:
+        """Return the poll events of the socket at this moment, without waiting."""
         poll = select.poll()
         poll.register(self._sock, events)
         found = poll.poll(0)
         return found[0][1] if found else 0
 
     def _read(self) -> None:
-        while not self.closed and not self._finishing:
+        while not self.closed and not self._is_finishing:
             data = self._sock.recv(self._read_bytes)
-            if self._finishing and data:
+            if self._is_finishing and data:
                 return
             if not data:
                 self._on_end()
                 return
             self._on_data(data)
             if len(data) == self._read_bytes:
-                # Guards against a peer that writes without end and keeps all others from their turn.
+                # Guards against a peer that sends without pause and starves all other greenlets.
                 gevent.sleep(0)
 
     def _write(self) -> None:
@@ -155,48 +158,48 @@
             if self._queue:
                 try:
                     self._send_batch()
-                except OSError as trouble:
-                    self._write_failed(trouble)
+                except OSError as error:
+                    self._write_failed(error)
                     return
-            elif self._finishing:
+            elif self._is_finishing:
                 self.close("done")
             else:
-                self._ready.clear()
-                self._ready.wait()
+                self._writer_wake_up.clear()
+                self._writer_wake_up.wait()
 
-    def _write_failed(self, trouble: OSError) -> None:
-        """The peer takes no more: close, but only after what it said before that has been read.
+    def _write_failed(self, error: OSError) -> None:
+        """Close, but only after what the peer sent before its close has been read.
 
-        Guards against an answer that comes together with the close and is lost where a write fails first."""
-        gevent.sleep(LAST_READ_S)
-        self.close(_reason(trouble))
+        Guards against losing an answer that arrives together with the close, where a write fails first."""
+        gevent.sleep(FINAL_READ_S)
+        self.close(_reason(error))
 
     def _send_batch(self) -> None:
-        """Write what is queued, as much of it as one call takes; one call a message costs too much.
+        """Write queued messages, as many as one system call takes; a call for each message costs too much.
 
-        Guards against messages that are withdrawn while the peer takes nothing: the system is asked to take
-        bytes at once or not at all, and what leaves later is chosen anew."""
+        Guards against messages that are withdrawn while the peer accepts nothing: the system takes bytes at
+        once or not at all, and the next batch is chosen anew."""
         batch = self._next_batch()
-        data = b"".join([outbound.data for outbound in batch])[self._sent_of_first :]
+        data = b"".join([outbound.data for outbound in batch])[self._first_sent_bytes :]
         if data:
             try:
-                # gevent's own third argument, which its types leave out: do not wait.
+                # gevent's own third argument, which its type stubs leave out: do not wait.
                 sent = self._sock.send(data, 0, 0.0)  # type: ignore[call-arg]
             except BlockingIOError:
                 self._await_writable()
                 return
-            self._mark_sent(batch, self._sent_of_first + sent)
+            self._mark_sent(batch, self._first_sent_bytes + sent)
         while self._queue and (self._queue[0].withdrawn or self._queue[0].progress is Progress.SENT):
-            self._queued -= len(self._queue.popleft().data)
+            self._queued_bytes -= len(self._queue.popleft().data)
 
     def _next_batch(self) -> list[OutboundMessage]:
-        """The first messages that are wanted; one of which bytes have left goes on in any case."""
+        """Return the first wanted messages; a message that is partly sent is continued in any case."""
         batch: list[OutboundMessage] = []
         size = 0
-        # A message that may not leave can take others of the queue with it, even this whole connection.
+        # `may_send` can withdraw other messages of the queue, and even close this connection.
         for outbound in list(self._queue):
-            begun = outbound.progress is Progress.PARTLY_SENT
-            outbound.withdrawn = not begun and (outbound.withdrawn or not outbound.may_send())
+            is_partly_sent = outbound.progress is Progress.PARTLY_SENT
+            outbound.withdrawn = not is_partly_sent and (outbound.withdrawn or not outbound.may_send())
             if outbound.withdrawn:
                 continue
             if size and size + len(outbound.data) > BATCH_BYTES:
@@ -206,8 +209,8 @@
         return [outbound for outbound in batch if not outbound.withdrawn]
 
     def _mark_sent(self, batch: list[OutboundMessage], sent: int) -> None:
-        """Note how far each message has come, of which so many bytes in all have left."""
-        self._sent_of_first = 0
+        """Update the progress of each message after `sent` bytes of the batch have been sent in all."""
+        self._first_sent_bytes = 0
         for outbound in batch:
             if sent >= len(outbound.data):
                 outbound.progress = Progress.SENT
@@ -215,28 +218,28 @@
                 sent -= len(outbound.data)
             elif sent:
                 outbound.progress = Progress.PARTLY_SENT
-                self._sent_of_first, sent = sent, 0
+                self._first_sent_bytes, sent = sent, 0
 
     def _await_writable(self) -> None:
-        """Wait until the peer takes more; the wait ends with an error where this side closes meanwhile."""
-        with gevent.Timeout(WRITE_S, TimeoutError("the peer takes nothing")):
-            # What gevent's own `send` does; it offers no public call that a close from here ends safely.
+        """Wait until the peer accepts data; raises OSError on a time-out or if this side closes meanwhile."""
+        with gevent.Timeout(WRITE_TIMEOUT_S, TimeoutError("the peer accepts no data")):
+            # The same as gevent's own `send` does; no public call of gevent ends safely at a close from here.
             self._sock._wait(self._sock._write_event)  # type: ignore[attr-defined]
 
 
 def accept_connections(listener: socket.socket, at: str) -> Iterator[socket.socket]:
-    """Each new connection, for ever.
+    """Yield each new connection, endlessly; `at` names the listener in the log.
 
-    Guards against a busy loop when descriptors run out: the connection stays in the queue."""
+    Guards against a busy loop when descriptors run out: the connection stays in the listen queue."""
     while True:
         try:
             sock, _ = listener.accept()
-        except OSError as trouble:
-            log_event(logging.ERROR, "accept_failed", errno=trouble.errno, at=at)
+        except OSError as error:
+            log_event(logging.ERROR, "accept_failed", errno=error.errno, at=at)
             gevent.sleep(0.05)
         else:
             yield sock
 
 
-def _reason(trouble: OSError) -> str:
-    return type(trouble).__name__ if trouble.errno is None else f"errno {trouble.errno}"
+def _reason(error: OSError) -> str:
+    return type(error).__name__ if error.errno is None else f"errno {error.errno}"
--- a/pearloom/core/errors.py
+++ b/pearloom/core/errors.py
@@ -1,4 +1,4 @@
-"""Errors as values: each says how far the attempt had come, and so what it proves."""
+"""Errors as values: how far an attempt had come, and which ending follows from that."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptError:
-    """Why an attempt ended without a call that stands.
+    """Why an attempt ended without establishing the call.
 
-    `ending` is set where the session server itself said how; else how far it had come decides.
+    `ending` is set where the session server itself reported one; otherwise `progress` decides.
     """
 
     progress: Progress
@@ -30,12 +30,13 @@
     ending: Ending | None = None
     processor_full: bool = False
     no_line: bool = False
-    line_only: bool = False  # its connection ended; that says nothing of the server
+    line_only: bool = False  # only its connection ended, which says nothing of the server's health
 
     def implied_ending(self) -> Ending:
-        """The ending that this error stands for.
+        """Return the ending that this error proves.
 
-        A set-up that did not leave whole never ran; one that did may have, whatever befell its connection."""
+        A set-up that was not sent completely never ran at the server; one that was may have run, whatever
+        happened to its connection."""
         if self.ending is not None:
             return self.ending
         if self.progress is Progress.NOT_DIALLED:
@@ -45,8 +46,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """Bytes that the protocol does not allow; a `fatal` one leaves no way to find the next message."""
+    """Received bytes that violate the protocol; after a `fatal` error the next message can't be found."""
 
     reason: str
     fatal: bool
-    call: str = ""  # the call that it was about, where that can be read
+    call: str = ""  # id of the call concerned, where it is readable
--- a/pearloom/core/logs.py
+++ b/pearloom/core/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as key=value pairs, on standard error."""
+"""Log lines as key=value pairs on standard error."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from datetime import UTC, datetime
 
 log = logging.getLogger("pearloom")
-LINES_AT_ONCE = 20.0  # of one event
-LINES_A_SECOND = 2.0
+BURST_LINES = 20.0  # of one event
+LINES_PER_SECOND = 2.0  # of one event, after a burst
 _ESCAPES = str.maketrans({"\\": "\\\\", '"': '\\"', "\n": "\\n", "\r": "\\r", "\t": "\\t"})
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`time=… level=… event=… key=value …`; a value with blanks or quotes is quoted."""
+    """Formats a record as `time=… level=… event=… key=value …`, with quotes where a value needs them."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """One line, whatever the record holds."""
+        """Return one line, whatever the record contains."""
         pairs: dict[str, object] = {
             "time": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
@@ -25,34 +25,34 @@
         }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={_value(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={_formatted(value)}" for key, value in pairs.items())
 
 
-class Limit(logging.Filter):
-    """Lets each event through a few times a second, and says on the next line how many were left out.
+class RateLimitFilter(logging.Filter):
+    """Limits the lines of each event by a token bucket, and adds the number of dropped lines to the next one.
 
-    Guards against a bad caller or server that fills the log."""
+    Guards against a faulty caller or server that fills the log."""
 
     def __init__(self) -> None:
-        """Nothing has been seen."""
+        """Start with a full bucket for each event."""
         super().__init__()
-        self._left: dict[str, tuple[float, float, int]] = {}  # lines left, when, how many were left out
+        self._buckets: dict[str, tuple[float, float, int]] = {}  # event: lines left, time in s, lines dropped
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Is this line to be written?"""
+        """Report whether this line is written."""
         event = record.getMessage()
-        left, then, skipped = self._left.get(event, (LINES_AT_ONCE, record.created, 0))
-        left = min(left + LINES_A_SECOND * max(record.created - then, 0.0), LINES_AT_ONCE)
+        left, updated_s, dropped = self._buckets.get(event, (BURST_LINES, record.created, 0))
+        left = min(left + LINES_PER_SECOND * max(record.created - updated_s, 0.0), BURST_LINES)
         if left < 1:
-            self._left[event] = (left, record.created, skipped + 1)
+            self._buckets[event] = (left, record.created, dropped + 1)
             return False
-        self._left[event] = (left - 1, record.created, 0)
-        if skipped:
-            record.pairs = {**getattr(record, "pairs", {}), "left_out": skipped}
+        self._buckets[event] = (left - 1, record.created, 0)
+        if dropped:
+            record.pairs = {**getattr(record, "pairs", {}), "left_out": dropped}
         return True
 
 
-def _value(value: object) -> str:
+def _formatted(value: object) -> str:
     text = f"{value:.1f}" if isinstance(value, float) else str(value)
     if text and not any(char in text for char in ' "=\n\r\t'):
         return text
@@ -60,20 +60,20 @@
 
 
 def log_event(level: int, event: str, **pairs: object) -> None:
-    """Log one event with its pairs."""
+    """Log one event with its key=value pairs."""
     log.log(level, event, extra={"pairs": pairs})
 
 
 def log_exception(event: str, **pairs: object) -> None:
-    """Log the exception at hand; the program goes on."""
+    """Log the exception being handled, as one event with its key=value pairs."""
     log.error(event, extra={"pairs": pairs}, exc_info=True)
 
 
 def configure() -> None:
-    """Send all lines to standard error."""
+    """Send all log lines to standard error, formatted and limited in rate."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
-    handler.addFilter(Limit())
+    handler.addFilter(RateLimitFilter())
     log.handlers[:] = [handler]
     log.setLevel(logging.INFO)
     log.propagate = False
--- a/pearloom/core/set_up_validation.py
+++ b/pearloom/core/set_up_validation.py
@@ -1,4 +1,4 @@
-"""What every set-up has to be, whatever protocol brought it."""
+"""Checks the fields of a set-up, for all protocols."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Config
 
-MOST_DESCRIPTION = 15 * 1024  # bytes: with its headers it has to fit one SIP message
-PATIENCE_SLACK = 2.0  # x the longest deadline: no caller waits longer
-MOST_CHOICE = 65535  # -1 stands for none
+MAX_DESCRIPTION_BYTES = 15 * 1024  # the description and its headers have to fit one SIP message
+PATIENCE_FACTOR = 2.0  # times the longest deadline: no caller waits longer
+MAX_FIRST_CHOICE = 65535  # -1 stands for none
 _NUMBER = re.compile(r"[0-9A-Za-z+*#._-]{1,64}")
-_NO_CALL = "0" * 16
+_RESERVED_ID = "0" * 16  # stands for no call
 
 
 class SetUpValidator:
-    """Turns what a caller said into an offer, or into nothing.
+    """Turns the fields that a caller sent into a set-up request, or rejects them.
 
-    Guards against figures that no call can have: a server would fail the set-up, or close on it a connection
-    that others share."""
+    Guards against values that no call can have: a server would fail the set-up, or close a connection that
+    other calls share."""
 
     def __init__(self, config: Config) -> None:
-        """Know the classes and the longest deadline of the settings."""
-        self._kinds = {name: number for number, name in enumerate(config.class_names)}
+        """Read the classes, their deadlines and the tenants of the settings."""
+        self._class_indices = {name: number for number, name in enumerate(config.class_names)}
         self._tenants = {name: number for number, name in enumerate(config.tenant_names)}
-        self.deadlines_ms = [kind.deadline_us / 1000.0 for kind in config.settings.classes]
-        self._most_patience_ms = PATIENCE_SLACK * max(self.deadlines_ms)
+        self.deadlines_ms = [call_class.deadline_us / 1000.0 for call_class in config.settings.classes]
+        self._max_patience_ms = PATIENCE_FACTOR * max(self.deadlines_ms)
 
     def deadline_ms(self, class_name: str) -> float:
-        """After how long callers of this class give up; 0 where there is no such class."""
-        kind = self._kinds.get(class_name)
-        return 0.0 if kind is None else self.deadlines_ms[kind]
+        """Return the time after which callers of this class give up; 0 where there is no such class."""
+        class_index = self._class_indices.get(class_name)
+        return 0.0 if class_index is None else self.deadlines_ms[class_index]
 
     def validated_request(
         self,
@@ -43,20 +43,20 @@
         was_cut: bool,
         tenant_name: str | None = "",
     ) -> SetUpRequest | None:
-        """The offer, or None where anything lies outside what a set-up may have.
+        """Return the request, or None where a field has a value that is not allowed in a set-up.
 
-        `tenant_name`: empty where none is told, None where it can't be read. Where the settings have tenants,
-        one that they do not name is no tenant's: a made-up name must not get past every share."""
-        kind = self._kinds.get(class_name or "")
-        if class_name is None or kind is None or call == _NO_CALL:
+        `tenant_name`: empty where none was sent, None where it is unreadable. If the settings have tenants,
+        a name that they do not contain is rejected: an invented name must not evade every share."""
+        class_index = self._class_indices.get(class_name or "")
+        if class_name is None or class_index is None or call == _RESERVED_ID:
             return None
-        if not _NUMBER.fullmatch(number) or len(description) > MOST_DESCRIPTION:
+        if not _NUMBER.fullmatch(number) or len(description) > MAX_DESCRIPTION_BYTES:
             return None
-        if not 0 < patience_ms <= self._most_patience_ms or not -1 <= first_choice <= MOST_CHOICE:
+        if not 0 < patience_ms <= self._max_patience_ms or not -1 <= first_choice <= MAX_FIRST_CHOICE:
             return None
         tenant = self._tenants.get(tenant_name or "", -1)
         if self._tenants and tenant < 0 and tenant_name != "":
             return None
         return SetUpRequest(
-            call, kind, class_name, number, description, patience_ms, first_choice, was_cut, tenant
+            call, class_index, class_name, number, description, patience_ms, first_choice, was_cut, tenant
         )
--- a/tests/races/test_servers.py
+++ b/tests/races/test_servers.py
@@ -149,7 +149,7 @@
 
 
 def test_a_write_that_the_peer_never_takes_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(core_connection, "WRITE_S", 0.1)
+    monkeypatch.setattr(core_connection, "WRITE_TIMEOUT_S", 0.1)
     listener = gevent_socket.socket()
     listener.setsockopt(gevent_socket.SOL_SOCKET, gevent_socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent import socket
 
-from pearloom.core.connection import MOST_QUEUED, Connection, OutboundMessage
+from pearloom.core.connection import MAX_QUEUED_BYTES, Connection, OutboundMessage
 from pearloom.core.errors import Progress
 
 
@@ -32,7 +32,7 @@
 
 def test_a_reader_that_is_too_slow_is_cut_off_alone() -> None:
     slow, other = Pair(), Pair()
-    for _ in range(MOST_QUEUED // 8000 + 2):
+    for _ in range(MAX_QUEUED_BYTES // 8000 + 2):
         slow.connection.send(OutboundMessage(b"x" * 8000))
     assert [reason for reason, _ in slow.closed] == ["reader too slow"]
     other.connection.send(OutboundMessage(b"answer"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from pearloom.core.logs import LINES_AT_ONCE, KeyValueFormatter, Limit
+from pearloom.core.logs import BURST_LINES, KeyValueFormatter, RateLimitFilter
 
 
 def line(event: str, at: float) -> logging.LogRecord:
@@ -14,13 +14,13 @@
 
 
 def test_an_event_that_comes_by_the_thousand_is_counted_and_others_are_written() -> None:
-    limit = Limit()
-    assert sum(limit.filter(line("caller_malformed", 1000.0)) for _ in range(5000)) == LINES_AT_ONCE
+    limit = RateLimitFilter()
+    assert sum(limit.filter(line("caller_malformed", 1000.0)) for _ in range(5000)) == BURST_LINES
     assert limit.filter(line("server_lost", 1000.0))
     later = line("caller_malformed", 1001.0)
     assert limit.filter(later)
     assert (
         KeyValueFormatter()
         .format(later)
-        .endswith(f"event=caller_malformed left_out={5000 - LINES_AT_ONCE:.0f}")
+        .endswith(f"event=caller_malformed left_out={5000 - BURST_LINES:.0f}")
     )
