--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -19,13 +19,13 @@
 
 from pearloom.admin.management import Answer, Ask, Routes
 from pearloom.admin.writing import away, bad, conflict, write
-from pearloom.coordination import Attempt, Link, Outcome
+from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
-from pearloom.rollout.evidence import Evidence, delays_of
+from pearloom.rollout.evidence import Evidence, merge_delays
 from pearloom.rollout.host import RolloutHost
 from pearloom.rules import head as steps
-from pearloom.rules.check import Known, faults
+from pearloom.rules.check import KnownNames, find_errors
 from pearloom.rules.head import HeadState, Request
 from pearloom.rules.host import RulesHost
 from pearloom.rules.records import FORMAT, Rule, RulesError, RuleSet, canonical
@@ -63,7 +63,7 @@
         rules: RulesHost,
         rollout: RolloutHost,
         settings: RolloutSettings,
-        known: Callable[[], Known],
+        known: Callable[[], KnownNames],
     ) -> None:
         """`known`: what rules may name at this moment."""
         self._link, self._member, self._rules, self._rollout = link, member, rules, rollout
@@ -79,20 +79,20 @@
 
     # --- reading --------------------------------------------------------------------------------------------
     def _show(self) -> Answer:
-        there = self._rules.there
+        there = self._rules.head_state
         if there is None:
             return away()
         return Answer(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
 
     def _lines(self, there: HeadState) -> Iterator[str]:
-        head, followed = there.head, self._rollout.followed(there)
+        head, followed = there.head, self._rollout.confirmation_status(there)
         yield (
             f"head={head.number} version={head.version} before={head.before}"
-            f" done={str(followed.done).lower()} fresh={str(self._link.fresh).lower()}"
+            f" done={str(followed.is_complete).lower()} fresh={str(self._link.is_fresh).lower()}"
         )
-        if self._rules.diverged:
-            seen = self._rules.seen.number if self._rules.seen else 0
-            yield f"diverged seen={seen} told={_quoted(self._rules.diverged)}"
+        if self._rules.divergence:
+            seen = self._rules.applied_head.number if self._rules.applied_head else 0
+            yield f"diverged seen={seen} told={_quoted(self._rules.divergence)}"
         yield from (f"unreadable={key}" for key in there.unreadable)
         if head.rollout is not None:
             one = head.rollout
@@ -107,8 +107,8 @@
         for member in self._member.view.members:
             at = said.get(member.name)
             number, version, left = (at.number, at.version, at.left) if at else (0, "-", 0)
-            waits = "waits" if member.name in followed.waits else "has"
-            state = "away" if member.name in followed.away else waits
+            waits = "waits" if member.name in followed.pending else "has"
+            state = "away" if member.name in followed.absent else waits
             yield (
                 f"member={member.name} condition={member.condition.value} {state}={head.number}"
                 f" at={number} version={version} left={left}"
@@ -121,13 +121,13 @@
             )
 
     def _evidence(self, there: HeadState) -> Iterator[str]:
-        judged, unreadable, told = self._rollout.judged(there)
+        judged, unreadable, told = self._rollout.judge_current_stage(there)
         assert there.head.rollout is not None, "asked for a rollout alone"
         yield from (f"unreadable={key}" for key in unreadable)
         for one in judged.findings:
-            low, high = one.ratio(there.head.rollout.terms.rate)
+            low, high = one.ratio_bounds(there.head.rollout.terms.rate)
             yield (
-                f"evidence class={one.kind} end={one.end.value} new={one.bad_new}/{one.new}"
+                f"evidence class={one.class_name} end={one.end.value} new={one.bad_new}/{one.new}"
                 f" old={one.bad_old}/{one.old} ratio_low={low:.2f} ratio_high={high:.2f}"
                 f" log_evidence={one.log_evidence:.2f}"
             )
@@ -151,18 +151,18 @@
             return bad(wrong)
         if told.at_once and told.stages:
             return bad("$.stages: none where the rules are to be in force at once")
-        found = faults(rules, self._known())
+        found = find_errors(rules, self._known())
         if found:
             more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
             return bad(found[0] + more)
         wanted = () if told.at_once else told.stages or self._settings.stages
-        zones = {one.name: one.zone for one in self._member.view.acting}
+        zones = {one.name: one.zone for one in self._member.view.live_members}
         if wanted and len(zones) < 2:
             # Guards against a rollout that has nobody to be compared with, and so can show nothing.
             return conflict("a rollout needs two live softswitches at least: ask for it at_once instead")
         stay = self._settings.stay if told.stay is None else told.stay
 
-        def attempt(there: HeadState, asked: Request, seen: int) -> Attempt:
+        def attempt(there: HeadState, asked: Request, seen: int) -> Transaction:
             begun = max(there.head.number, seen) + 1
             members = stages.members(zones, begun, wanted[0]) if wanted else ()
             terms = self._settings.terms
@@ -184,7 +184,7 @@
         )
 
     def _write(
-        self, attempt: Callable[[HeadState, Request, int], Attempt], reason: str, author: str
+        self, attempt: Callable[[HeadState, Request, int], Transaction], reason: str, author: str
     ) -> Answer:
         """Compute, try, and compute again where others wrote in between.
 
@@ -192,14 +192,14 @@
         asked = Request(self._member.name, secrets.token_hex(8), reason, author, int(time.time() * 1000))
 
         def read() -> HeadState | Answer:
-            there = self._rules.there
-            if there is None or not self._link.fresh:
+            there = self._rules.head_state
+            if there is None or not self._link.is_fresh:
                 return away()
             return _won(there, asked.tag) or there
 
         def settled(outcome: Outcome) -> Answer:
             self._link.read_again()
-            there = self._rules.there
+            there = self._rules.head_state
             if there is not None and (won := _won(there, asked.tag)) is not None:
                 return won
             if outcome is Outcome.UNKNOWN:
@@ -207,11 +207,11 @@
                 return Answer(HTTPStatus.ACCEPTED, text)
             return Answer(HTTPStatus.OK, "ok\n")
 
-        def step(there: HeadState) -> Attempt:
-            seen = self._rules.seen.number if self._rules.seen is not None else 0
+        def step(there: HeadState) -> Transaction:
+            seen = self._rules.applied_head.number if self._rules.applied_head is not None else 0
             return attempt(there, asked, seen)
 
-        return write(read, step, self._link.attempt, self._link.read_again, settled, RulesError)
+        return write(read, step, self._link.commit, self._link.read_again, settled, RulesError)
 
 
 def _won(there: HeadState, tag: str) -> Answer | None:
@@ -225,7 +225,7 @@
 def _delays(name: str, version: str, told: list[Evidence]) -> Iterator[str]:
     for kind in sorted({kind for one in told for kind in one.versions.get(version, {})}):
         held = [one.versions[version][kind].delays for one in told if kind in one.versions.get(version, {})]
-        whole = delays_of(text for text in held if text)
+        whole = merge_delays(text for text in held if text)
         p50, p95, p99 = (whole.get_value_at_percentile(share) for share in (50, 95, 99))
         yield f"delay class={kind} under={name} p50_ms={p50} p95_ms={p95} p99_ms={p99}"
 
@@ -238,8 +238,8 @@
 
 
 def _stages(told: tuple[float, ...]) -> str:
-    if len(told) > steps.MOST_STAGES or not all(0.0 <= share < 1.0 for share in told):
-        return f"$.stages: at most {steps.MOST_STAGES} shares from 0 (one softswitch) to below 1"
+    if len(told) > steps.MAX_STAGES or not all(0.0 <= share < 1.0 for share in told):
+        return f"$.stages: at most {steps.MAX_STAGES} shares from 0 (one softswitch) to below 1"
     return "" if list(told) == sorted(set(told)) else "$.stages: have to grow"
 
 
--- a/pearloom/admin/work.py
+++ b/pearloom/admin/work.py
@@ -18,16 +18,16 @@
 
 from pearloom.admin.management import Answer, Ask, Routes
 from pearloom.admin.writing import away, bad, write
-from pearloom.coordination import Attempt, Outcome
+from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
-from pearloom.maintenance.records import FORMAT, Kind, MaintenanceError, Slot, Slots
+from pearloom.maintenance.records import FORMAT, MachineKind, MaintenanceError, Slot, Slots
 
 MOST_MACHINES = 64  # in one call
 
 
 class _Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    kind: Kind
+    kind: MachineKind
     name: str
 
 
@@ -57,7 +57,7 @@
         if slots is None:
             return away()
         reasons = {held.slot.id: wait for held, wait in self._host.waiting()}
-        lines = [f"fresh={str(self._host.fleet().fresh).lower()} limits.out={slots.limits.out}"]
+        lines = [f"fresh={str(self._host.fleet().is_fresh).lower()} limits.out={slots.limits.out}"]
         lines += [f"unreadable={key}" for key in slots.unreadable]
         for held in sorted(slots.slots, key=lambda held: held.slot.number):
             slot = held.slot
@@ -90,7 +90,7 @@
                 self._name, work.reason, 0,
             )  # fmt: skip
             asked.append(slot)
-        done = self._write(lambda slots: records.request(slots, asked))
+        done = self._write(lambda slots: records.request_slots(slots, asked))
         if done.status is HTTPStatus.ACCEPTED and (now := self._host.slots) is not None:
             # The ids are drawn here: that the queue has them proves it, though they have moved on since.
             done = Answer(HTTPStatus.OK) if all(now.find(slot.id) for slot in asked) else done
@@ -99,17 +99,17 @@
         return Answer(HTTPStatus.OK, "".join(f"turn={slot.id} machine={slot.machine}\n" for slot in asked))
 
     def _cancel(self, ask: Ask) -> Answer:
-        return self._write(lambda slots: steps.cancel(slots, ask.rest).attempt)
+        return self._write(lambda slots: steps.cancel(slots, ask.rest).transaction)
 
     def _back(self, ask: Ask) -> Answer:
-        return self._write(lambda slots: steps.come_back(slots, ask.rest).attempt)
+        return self._write(lambda slots: steps.mark_returned(slots, ask.rest).transaction)
 
-    def _write(self, attempt: Callable[[Slots], Attempt]) -> Answer:
+    def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
         def read() -> Slots | Answer:
             slots = self._host.slots
-            return away() if slots is None or not self._host.fleet().fresh else slots
+            return away() if slots is None or not self._host.fleet().is_fresh else slots
 
-        return write(read, attempt, self._host.attempt, self._host.read_again, _settled, MaintenanceError)
+        return write(read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError)
 
 
 def _settled(outcome: Outcome) -> Answer:
--- a/pearloom/binary/connection.py
+++ b/pearloom/binary/connection.py
@@ -200,13 +200,13 @@
                 self._side.exchange.handle_caller_release(
                     message.call, Cause.NORMAL if cause is None else cause
                 )
-                self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_HEARD, message.call))))
-            case Type.RELEASE_HEARD:
+                self._send(OutboundMessage(isup.encode(Message(Type.RELEASE_COMPLETE, message.call))))
+            case Type.RELEASE_COMPLETE:
                 self._side.talked(self)
                 self._side.counters.add("releases_heard")
                 self.unheard.pop(message.call, None)
             case Type.TEST:
-                cause = 1 if self._side.takes_work else 0
+                cause = 1 if self._side.is_in_service else 0
                 reply = Message(Type.TESTED, message.call, {Code.CAUSE: bytes([cause])})
                 self._send(OutboundMessage(isup.encode(reply)))
             case Type.PROGRESS | Type.GROUP_STATE | Type.TESTED:
@@ -241,7 +241,7 @@
             self._send_release(message.call, Cause.INVALID_SET_UP)
             return
         self._side.talked(self)
-        if len(self.open) >= MOST_OPEN_EACH or self._side.refuses:
+        if len(self.open) >= MOST_OPEN_EACH or self._side.is_refusing:
             # Guards against one connection that takes what all callers share, and against one that is never
             # without a set-up and so would outlive a drain.
             exchange.refuse_set_up(offer, self)
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -24,7 +24,7 @@
 from pearloom.core.clock import Clock
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters, Metrics
-from pearloom.core.decider import Decider, arrival
+from pearloom.core.decider import Decider, call_arrived_event
 from pearloom.core.errors import AttemptError, Progress
 from pearloom.core.established import EstablishedCalls
 from pearloom.core.logs import log_event
@@ -57,7 +57,7 @@
         self.stay_away_ms = settings.stay_away_us(FULL_STAY_AWAY_US) / 1000.0  # in refusals for lack of room
         self.reporter = OutcomeReporter(clock, counters, metrics, settings.classes)
         self.decider = Decider(clock, settings, seed, round_ms, self._execute)
-        self._submit = self.decider.tell
+        self._submit = self.decider.handle_event
         self._calls: dict[str, Call] = {}
         self._established = EstablishedCalls()
         self._recent_ids = RecentIds(MAX_RECENT_IDS, RECENT_IDS_TTL_MS)
@@ -85,7 +85,7 @@
         """Return the operators' metrics; a call counts as outstanding until it is released."""
         return self._metrics.text(
             outstanding=self.open_calls + self.established_calls, discovered=self._servers.discovered,
-            ejected=self.decider.avoided,
+            ejected=self.decider.ejected_count,
         )  # fmt: skip
 
     def established_at(self, server: str) -> int:
@@ -147,7 +147,7 @@
         route = self.reporter.route_for(request)
         self._calls[request.call] = Call(request, caller, arrived_ms=self._clock.now_ms(), call_route=route)
         self._pending.add(request)
-        self._submit(arrival(request, route))
+        self._submit(call_arrived_event(request, route))
 
     def refuse_set_up(self, request: SetUpRequest, caller: Caller) -> None:
         """Refuse a new set-up for which the callers' side has no room, without the decision module."""
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -74,7 +74,7 @@
             int(Code.CLASS): offer.class_name.encode(),
             int(Code.PATIENCE_MS): str(int(offer.patience_ms)).encode(),
             int(Code.NUMBER): offer.number.encode(),
-            int(Code.FIGURES): figures.encode(),
+            int(Code.ATTRIBUTES): figures.encode(),
             int(Code.DESCRIPTION): offer.description,
         }
         sock = self._connected()  # before anything is noted: where nobody listens, nothing was offered
@@ -126,7 +126,7 @@
             made = message.parameters.get(Code.DESCRIPTION, b"")
             self._journal.add(What.STANDS, self.name, message.call, description=made)
         elif message.type == Type.RELEASE:
-            sock.sendall(isup.encode(Message(Type.RELEASE_HEARD, message.call)))
+            sock.sendall(isup.encode(Message(Type.RELEASE_COMPLETE, message.call)))
             if held is not None:
                 del self._calls[message.call]
                 refused = message.cause in REFUSED
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -13,8 +13,8 @@
 import gevent
 from gevent.event import Event
 
-from pearloom.coordination import Attempt, Link, Outcome, Snapshot
-from pearloom.coordination.pace import patience_ms
+from pearloom.coordination import Link, Outcome, Snapshot, Transaction
+from pearloom.coordination.timing import contention_delay_ms
 from pearloom.core.config import Server
 from pearloom.core.counters import Counters
 from pearloom.core.logs import log_event, log_exception
@@ -22,9 +22,9 @@
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.capacity import load, weighed
 from pearloom.maintenance.order import Fleet, Machine, Wait, waits
-from pearloom.maintenance.records import Held, Kind, Limits, Phase, Slots
-from pearloom.maintenance.steps import Own, Step
-from pearloom.maintenance.trouble import zones_in_trouble
+from pearloom.maintenance.outages import zones_in_trouble
+from pearloom.maintenance.records import Held, Limits, MachineKind, Phase, Slots
+from pearloom.maintenance.steps import LocalSoftswitch, Step
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
 
@@ -38,7 +38,7 @@
 
     drain: Callable[[], object]
     activate: Callable[[], object]
-    idle: Callable[[], bool]
+    is_idle: Callable[[], bool]
     withhold: Callable[[Iterable[str]], None]
     servers: Callable[[], Iterable[Server]]
     halted: Callable[[], bool]  # has a rollout just halted?
@@ -81,20 +81,26 @@
         view = self._member.view
         machines = [
             Machine(
-                Kind.SOFTSWITCH, one.name, one.zone, "", one.condition is Condition.LIVE, 1.0, one.incarnation
+                MachineKind.SOFTSWITCH,
+                one.name,
+                one.zone,
+                "",
+                one.condition is Condition.LIVE,
+                1.0,
+                one.incarnation,
             )
             for one in view.members
         ]
         machines += [
             Machine(
-                Kind.SERVER, one.entry.server, one.zone, f"cell-{one.entry.cell}",
+                MachineKind.SERVER, one.entry.server, one.zone, f"cell-{one.entry.cell}",
                 one.entry.state is PoolState.READY, 1.0, one.entry.started_us,
             )
             for one in self._hands.servers()
         ]  # fmt: skip
         slots = self.slots
         return Fleet(
-            weighed(machines, view.members), self._link.fresh,
+            weighed(machines, view.members), self._link.is_fresh,
             trouble=frozenset() if slots is None else zones_in_trouble(machines, slots),
             halted=self._hands.halted(), load=load(view.members),
         )  # fmt: skip
@@ -108,14 +114,14 @@
         """Before an operator's step is computed again."""
         self._link.read_again()
 
-    def attempt(self, attempt: Attempt) -> Outcome:
+    def commit(self, attempt: Transaction) -> Outcome:
         """An operator's own step."""
-        return self._link.attempt(attempt)
+        return self._link.commit(attempt)
 
     # --- the loop -------------------------------------------------------------------------------------------
     def _changed(self, snapshot: Snapshot) -> None:
         slots, now = records.read_slots(snapshot), self._now_ms()
-        there = {(held.slot.id, held.mod) for held in slots.slots}
+        there = {(held.slot.id, held.mod_revision) for held in slots.slots}
         self._seen_ms = {key: self._seen_ms.get(key, now) for key in there}
         self._follow(slots)
         self._wake.set()
@@ -123,10 +129,10 @@
     def _follow(self, slots: Slots) -> None:
         """Do here what the turns say: withhold, drain, take up again."""
         held = [one.slot for one in slots.slots if one.slot.phase in (Phase.DRAINING, Phase.OUT)]
-        self._hands.withhold(slot.machine for slot in held if slot.kind is Kind.SERVER)
+        self._hands.withhold(slot.machine for slot in held if slot.kind is MachineKind.SERVER)
         me, life = self._member.name, self._member.incarnation
         drains = any(
-            slot.kind is Kind.SOFTSWITCH and slot.machine == me and slot.grant == life
+            slot.kind is MachineKind.SOFTSWITCH and slot.machine == me and slot.grant == life
             and not slot.note.startswith(steps.DIED)
             for slot in held
         )  # fmt: skip
@@ -148,14 +154,14 @@
 
     def _once(self) -> None:
         slots = self.slots
-        if slots is None or not self._link.may_act() or not self._link.fresh:
+        if slots is None or not self._link.may_act() or not self._link.is_fresh:
             return
         adopted = records.adopt(slots, self._limits)
         if adopted is not None:
-            self._link.attempt(adopted)
+            self._link.commit(adopted)
             return
-        idle = self._drains and self._hands.idle()
-        own = Own(self._member.name, self._member.incarnation, idle, self._link.may_act())
+        idle = self._drains and self._hands.is_idle()
+        own = LocalSoftswitch(self._member.name, self._member.incarnation, idle, self._link.may_act())
         step = steps.next_step(slots, self.fleet(), own, self._seen_ms, self._now_ms())
         if step is None:
             self._tried.clear()
@@ -166,13 +172,13 @@
         """Own steps at once; those that anybody may do after the others before this one had their time."""
         now, key = self._now_ms(), (step.slot, step.to)
         first = self._tried.setdefault(key, now)
-        acting = [member.name for member in self._member.view.acting]
+        acting = [member.name for member in self._member.view.live_members]
         mine = step.machine == self._member.name and step.to is not Phase.GRANTED
-        return mine or now - first >= patience_ms(step.slot, self._member.name, acting)
+        return mine or now - first >= contention_delay_ms(step.slot, self._member.name, acting)
 
     def _try(self, step: Step) -> None:
         # Asked again directly before the deed: this process may have slept since the step was computed.
-        outcome = self._link.attempt(step.attempt) if self._link.may_act() else Outcome.LOST
+        outcome = self._link.commit(step.transaction) if self._link.may_act() else Outcome.LOST
         self._tried.clear()
         self._counters.add(f"maintenance_steps_{outcome.value}")
         if outcome is Outcome.WON:
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -25,9 +25,18 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Write
+from pearloom.coordination.port import Transaction, Write
 from pearloom.maintenance.order import Fleet, Machine, waits
-from pearloom.maintenance.records import GATE, Held, Kind, MaintenanceError, Phase, Slots, encode, moved
+from pearloom.maintenance.records import (
+    GATE,
+    Held,
+    MachineKind,
+    MaintenanceError,
+    Phase,
+    Slots,
+    encode,
+    moved,
+)
 
 DIED = "died on its "  # how the notes of those begin that did
 KEEP_MS = 60_000.0  # a turn that is done is shown for so long
@@ -41,11 +50,11 @@
     machine: str
     to: Phase | None  # None: the record goes
     why: str
-    attempt: Attempt
+    transaction: Transaction
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class LocalSoftswitch:
     """This softswitch itself: what it needs to take its own turn up and to end its drain."""
 
     name: str
@@ -55,16 +64,16 @@
 
 
 def next_step(
-    slots: Slots, fleet: Fleet, own: Own, seen_ms: Mapping[tuple[str, int], float], now_ms: float
+    slots: Slots, fleet: Fleet, own: LocalSoftswitch, seen_ms: Mapping[tuple[str, int], float], now_ms: float
 ) -> Step | None:
     """The one step to try now; `seen_ms`: when each turn was first seen here at its present revision.
 
     Steps that free room come before one that takes it, so that a full fleet does not wait for its order."""
-    if not own.may_act or not fleet.fresh:
+    if not own.may_act or not fleet.is_fresh:
         return None
     machines = {(one.kind, one.name): one for one in fleet.machines}
     for held in slots.slots:
-        since = now_ms - seen_ms.get((held.slot.id, held.mod), now_ms)
+        since = now_ms - seen_ms.get((held.slot.id, held.mod_revision), now_ms)
         machine = machines.get((held.slot.kind, held.slot.machine))
         if (step := _onward(held, machine, own, slots, since)) is not None:
             return step
@@ -76,7 +85,7 @@
 
 def _step(held: Held, to: Phase, why: str, **changes: object) -> Step:
     compare, write = moved(held, phase=to, note=why, **changes)
-    return Step(held.slot.id, held.slot.machine, to, why, Attempt((compare,), (write,)))
+    return Step(held.slot.id, held.slot.machine, to, why, Transaction((compare,), (write,)))
 
 
 def _free(held: Held, slots: Slots, to: Phase, why: str, **changes: object) -> Step:
@@ -85,7 +94,7 @@
     Guards against a grant into room that a store has taken back by losing this very write."""
     compare, write = moved(held, phase=to, note=why, **changes)
     gate = msgspec.structs.replace(slots.gate, freed=slots.gate.freed + 1, last_slot=held.slot.id)
-    attempt = Attempt((compare, slots.gate_compare), (write, Write(GATE, encode(gate))))
+    attempt = Transaction((compare, slots.gate_compare), (write, Write(GATE, encode(gate))))
     return Step(held.slot.id, held.slot.machine, to, why, attempt)
 
 
@@ -97,14 +106,16 @@
     )
     compare, write = moved(held, phase=Phase.GRANTED, note="next", grant=machine.incarnation)
     # The gate is compared too: two that each see room for one more can't both take it. So are the limits.
-    attempt = Attempt(
+    attempt = Transaction(
         (compare, slots.gate_compare, slots.limits_compare),
         (write, Write(GATE, encode(gate))),
     )
     return Step(held.slot.id, held.slot.machine, Phase.GRANTED, "next", attempt)
 
 
-def _onward(held: Held, machine: Machine | None, own: Own, slots: Slots, since_ms: float) -> Step | None:
+def _onward(
+    held: Held, machine: Machine | None, own: LocalSoftswitch, slots: Slots, since_ms: float
+) -> Step | None:
     """The step of a turn that has begun, if there is one."""
     slot, limits = held.slot, slots.limits
     away = machine is None or not machine.ready
@@ -113,7 +124,7 @@
         case Phase.GRANTED:
             if away or reborn:
                 return _step(held, Phase.OUT, DIED + "turn")
-            if slot.kind is Kind.SERVER or _mine(held, own):
+            if slot.kind is MachineKind.SERVER or _mine(held, own):
                 return _step(held, Phase.DRAINING, "taken up")
             if since_ms > limits.take_up_ms:
                 return _free(held, slots, Phase.WAITING, "not taken up", grant=0)
@@ -133,15 +144,15 @@
             if since_ms > limits.settle_ms:
                 return _free(held, slots, Phase.DONE, "settled")
         case Phase.DONE if since_ms > KEEP_MS:
-            gone = Attempt((held.compare,), (Write(slot.key, None),))
+            gone = Transaction((held.compare,), (Write(slot.key, None),))
             return Step(slot.id, slot.machine, None, "forgotten", gone)
     return None
 
 
-def _mine(held: Held, own: Own) -> bool:
+def _mine(held: Held, own: LocalSoftswitch) -> bool:
     """Is it this softswitch's own turn, granted in this very life?"""
     slot = held.slot
-    return slot.kind is Kind.SOFTSWITCH and slot.machine == own.name and slot.grant == own.incarnation
+    return slot.kind is MachineKind.SOFTSWITCH and slot.machine == own.name and slot.grant == own.incarnation
 
 
 def _reborn(held: Held, machine: Machine | None) -> bool:
@@ -154,7 +165,7 @@
     held = _held(slots, slot)
     match held.slot.phase:
         case Phase.WAITING | Phase.DONE:
-            gone = Attempt((held.compare,), (Write(held.slot.key, None),))
+            gone = Transaction((held.compare,), (Write(held.slot.key, None),))
             return Step(slot, held.slot.machine, None, "cancelled", gone)
         case Phase.GRANTED | Phase.DRAINING:
             return _step(held, Phase.RETURNING, "cancelled")
@@ -162,7 +173,7 @@
             raise MaintenanceError(f"turn {slot} is {phase.value}: say that its machine is back instead")
 
 
-def come_back(slots: Slots, slot: str) -> Step:
+def mark_returned(slots: Slots, slot: str) -> Step:
     """The operator says that a machine that is out is back, where nothing else shows it."""
     held = _held(slots, slot)
     if held.slot.phase is not Phase.OUT:
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -18,11 +18,11 @@
     MemberFacts,
     View,
     doubled,
+    heartbeat_interval_ms,
     join,
     leave,
     look,
     next_facts,
-    paced_ms,
 )
 
 AGAIN_S = 0.2  # after a beat that was not written
@@ -57,7 +57,7 @@
 
     @property
     def _period_ms(self) -> float:
-        return paced_ms(self._beat_ms, len(self.view.members))
+        return heartbeat_interval_ms(self._beat_ms, len(self.view.members))
 
     def start(self) -> None:
         """Join, and tell of oneself from now on."""
@@ -73,7 +73,7 @@
             if known.get(member.name) is not member.condition:
                 self._counters.add(f"member_{member.condition.value}")
                 log_event(
-                    logging.INFO if member.acts else logging.WARNING, "member", member=member.name,
+                    logging.INFO if member.is_live else logging.WARNING, "member", member=member.name,
                     condition=member.condition.value, incarnation=member.incarnation, zone=member.zone,
                 )  # fmt: skip
 
@@ -99,7 +99,7 @@
             log_event(logging.ERROR, "member_doubled", member=self.name, incarnation=self.incarnation)
             return True
         self._facts = next_facts(self._facts, *self._load())
-        outcome = self._link.attempt(join(snapshot, self.name, self._facts))
+        outcome = self._link.commit(join(snapshot, self.name, self._facts))
         if outcome is Outcome.LOST:
             # Guards against a picture of the own key that no change will ever mend: nobody else writes it.
             self._link.read_again()
@@ -112,10 +112,10 @@
         snapshot = self._link.snapshot
         if snapshot is not None and self._link.may_act():
             self._facts = next_facts(self._facts, {}, 0, leaving=True)
-            self._link.attempt(join(snapshot, self.name, self._facts))
+            self._link.commit(join(snapshot, self.name, self._facts))
 
     def remove(self, name: str) -> Outcome:
         """An operator takes a softswitch that is away out of the roster: nobody misses it any more."""
         snapshot = self._link.snapshot
         attempt = leave(snapshot, name) if snapshot is not None else None
-        return Outcome.LOST if attempt is None else self._link.attempt(attempt)
+        return Outcome.LOST if attempt is None else self._link.commit(attempt)
--- a/pearloom/rollout/confirm.py
+++ b/pearloom/rollout/confirm.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from pearloom.coordination.port import Attempt, Compare, Snapshot, Write
-from pearloom.coordination.values import decoded
+from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
+from pearloom.coordination.values import decode_record
 
 CONFIRMED = "rules/at/"
 FORMAT = 1
@@ -27,40 +27,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Followed:
+class ConfirmationStatus:
     """Who goes by the head already: `waits` are live and have not said so, `away` can't say it."""
 
-    waits: tuple[str, ...]
-    away: tuple[str, ...]
+    pending: tuple[str, ...]
+    absent: tuple[str, ...]
 
     @property
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         """Has every live softswitch confirmed?"""
-        return not self.waits
+        return not self.pending
 
 
 def confirmations(snapshot: Snapshot) -> dict[str, Confirmation]:
     """By softswitch; what can't be read is not there."""
     found: dict[str, Confirmation] = {}
-    for entry in snapshot.below(CONFIRMED):
-        one = decoded(entry.value, Confirmation, FORMAT)
+    for entry in snapshot.with_prefix(CONFIRMED):
+        one = decode_record(entry.value, Confirmation, FORMAT)
         if one is not None and len(one.why) <= MOST_WHY:
             found[entry.key.removeprefix(CONFIRMED)] = one
     return found
 
 
-def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Attempt | None:
+def confirm(snapshot: Snapshot, name: str, said: Confirmation) -> Transaction | None:
     """Say it; None where it stands there already."""
     entry, value = snapshot.find(CONFIRMED + name), msgspec.json.encode(said)
     if entry is not None and entry.value == value:
         return None
-    compare = Compare(CONFIRMED + name, entry.mod if entry is not None else 0)
-    return Attempt((compare,), (Write(CONFIRMED + name, value),))
+    compare = Compare(CONFIRMED + name, entry.mod_revision if entry is not None else 0)
+    return Transaction((compare,), (Write(CONFIRMED + name, value),))
 
 
 def followed(
     number: int, live: Mapping[str, int], missing: Sequence[str], said: Mapping[str, Confirmation]
-) -> Followed:
+) -> ConfirmationStatus:
     """Who goes by head `number`; `live`: each live softswitch and its incarnation.
 
     What a former incarnation said counts for nothing: its process is gone, and this one may have begun with
@@ -70,4 +70,4 @@
         if name not in said or said[name].number < number or said[name].incarnation != life
     ]  # fmt: skip
     away = [name for name in missing if name not in said or said[name].number < number]
-    return Followed(tuple(sorted(waits)), tuple(sorted(away)))
+    return ConfirmationStatus(tuple(sorted(waits)), tuple(sorted(away)))
--- a/pearloom/servers/coordinator.py
+++ b/pearloom/servers/coordinator.py
@@ -23,7 +23,7 @@
 from pearloom.servers.discovery import PoolView
 
 DIAL_S = 1.0
-SILENT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
+FRAME_TIMEOUT_S = 2.5  # an empty frame comes each second; with none whole for so long the connection is dead
 REDIAL_S = 0.1
 MOST_BYTES = 1 << 20
 READ_BYTES = 64 * 1024
@@ -83,7 +83,7 @@
     return ListUpdate(number, kind == _WHOLE, tuple(servers))
 
 
-def cached(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
+def merge_updates(updates: tuple[ListUpdate, ...]) -> tuple[Server, ...]:
     """The list that the known events add up to."""
     servers: dict[str, Server] = {}
     for update in updates:
@@ -99,7 +99,7 @@
 
     Guards against a stream that falls silent, be it in the middle of a frame or with a byte now and then: a
     whole frame is owed each second."""
-    with gevent.Timeout(SILENT_S, TimeoutError("no whole frame")):
+    with gevent.Timeout(FRAME_TIMEOUT_S, TimeoutError("no whole frame")):
         while True:
             data = sock.recv(READ_BYTES)
             if not data:
@@ -122,7 +122,7 @@
         self._counters = counters
         self._sock: socket.socket | None = None
         self._moved = False  # the connection at hand was closed by a move, not lost
-        self.heard = False  # has a coordinator told anything, if only that there is nothing new?
+        self.has_received = False  # has a coordinator told anything, if only that there is nothing new?
 
     def start(self) -> None:
         """Follow from now on."""
@@ -166,13 +166,13 @@
             decoder = Decoder(self._zones)
             while True:
                 for update in _next_frames(sock, decoder):
-                    self.take(update)
+                    self.apply_event(update)
         finally:
             sock.close()
 
-    def take(self, update: ListUpdate | Heartbeat | Malformed) -> None:
+    def apply_event(self, update: ListUpdate | Heartbeat | Malformed) -> None:
         """One event; one that is known already changes nothing."""
-        self.heard = True
+        self.has_received = True
         if isinstance(update, Malformed):
             log_event(logging.WARNING, "coordinator_malformed", reason=update.reason)
             if update.fatal:
@@ -183,4 +183,4 @@
             states = ",".join(f"{one.entry.server}:{one.entry.state.value}" for one in update.servers)
             log_event(logging.INFO, "list", index=update.index, whole=update.whole, servers=states)
             kind = api.ListKind.COMPLETE if update.whole else api.ListKind.CHANGES
-            self._listing.told(kind, update.servers)
+            self._listing.apply_event(kind, update.servers)
--- a/pearloom/servers/directory.py
+++ b/pearloom/servers/directory.py
@@ -25,11 +25,11 @@
     server: Server
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """May it get new set-ups?"""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Is it gone, with nothing left to do?"""
 
     @property
@@ -71,7 +71,7 @@
         """The server is gone and owes nothing."""
 
 
-Maker = Callable[["Directory", Server], Trunk]
+TrunkFactory = Callable[["Directory", Server], Trunk]
 
 
 class Directory:
@@ -82,7 +82,7 @@
         exchange: Exchange,
         clock: Clock,
         counters: Counters,
-        makers: Mapping[str, Maker],
+        makers: Mapping[str, TrunkFactory],
         most_connections: int,
     ) -> None:
         """Know no server yet; `makers` has what makes a trunk for each protocol.
@@ -93,7 +93,7 @@
         self.clock = clock
         self.counters = counters
         self._makers = makers
-        self.speaks: Callable[[str], str] = lambda server: SIP  # by a server's id, which protocol
+        self.protocol_of: Callable[[str], str] = lambda server: SIP  # by a server's id, which protocol
         self._trunks: dict[str, Trunk] = {}
 
     def start(self) -> None:
@@ -104,7 +104,7 @@
         try:
             for trunk in list(self._trunks.values()):
                 trunk.watch()
-                if trunk.idle:
+                if trunk.is_idle:
                     trunk.close()
                     del self._trunks[trunk.name]
         except Exception:
@@ -121,14 +121,14 @@
     def address_taken(self, trunk: Trunk) -> bool:
         """Is a ready server of another id listed at this trunk's address?"""
         return any(
-            other.ready and other.server.address == trunk.server.address
+            other.is_ready and other.server.address == trunk.server.address
             for other in self._trunks.values()
             if other is not trunk
         )
 
     def _make(self, server: Server) -> Trunk:
         name = server.entry.server
-        self._trunks[name] = trunk = self._makers[self.speaks(name)](self, server)
+        self._trunks[name] = trunk = self._makers[self.protocol_of(name)](self, server)
         return trunk
 
     # --- exchange.ServerSide
@@ -147,17 +147,17 @@
             if trunk.name not in named:
                 trunk.update(gone(trunk.server))
 
-    def listing(self) -> list[Server]:
+    def listed_servers(self) -> list[Server]:
         """The list as it is now."""
         servers = [trunk.server for trunk in self._trunks.values()]
         return [server for server in servers if server.entry.state is not PoolState.GONE]
 
     @property
-    def settled(self) -> bool:
+    def has_finished_dialling(self) -> bool:
         """Has each connection that was asked for come up, or failed?"""
         return not any(trunk.dialling for trunk in self._trunks.values())
 
-    def dial_all(self) -> None:
+    def dial_servers_with_calls(self) -> None:
         """Open a further connection to each server where anything stands."""
         for trunk in self._trunks.values():
             if self.exchange.established_at(trunk.name):
@@ -171,18 +171,18 @@
     @property
     def discovered(self) -> int:
         """How many are in the list."""
-        return len(self.listing())
+        return len(self.listed_servers())
 
     def withdraw_unsent(self) -> None:
         """End what has not begun to leave for a server that is not ready."""
         for trunk in list(self._trunks.values()):
-            if not trunk.ready:
+            if not trunk.is_ready:
                 trunk.withdraw_unsent()
 
     def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         """Send an attempt."""
         trunk = self._trunks.get(server)
-        if trunk is None or not trunk.ready:
+        if trunk is None or not trunk.is_ready:
             # The last guard before a server that drains or is gone.
             error = AttemptError(Progress.NOT_DIALLED, "server not ready")
             self.exchange.attempt_ended(set_up.request.call, set_up.attempt, error)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -9,7 +9,7 @@
 
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.membership import MEMBERS, ROSTER, Condition, MemberFacts, View, join, leave, look
-from pearloom.membership.view import RosterEntry, doubled, paced_ms
+from pearloom.membership.view import RosterEntry, doubled, heartbeat_interval_ms
 
 BEAT_MS = 1_000.0
 
@@ -52,7 +52,7 @@
     view = look(there, View(), 0.0, BEAT_MS)
     assert condition(view) is wanted
     assert view.missing == (("n1",) if wanted in (Condition.AWAY, Condition.UNREADABLE) else ())
-    assert [one.name for one in view.acting] == (["n1"] if wanted is Condition.LIVE else [])
+    assert [one.name for one in view.live_members] == (["n1"] if wanted is Condition.LIVE else [])
 
 
 def test_one_that_tells_nothing_has_stalled_until_it_tells_again() -> None:
@@ -77,9 +77,14 @@
 def test_joining_compares_with_what_was_read_and_leaving_takes_both_keys_out() -> None:
     mine = MemberFacts(1, 2, "a", 7)
     first = join(snapshot(), "n1", mine)
-    assert [(one.key, one.mod) for one in first.compares] == [(MEMBERS + "n1", 0), (ROSTER + "n1", 0)]
+    assert [(one.key, one.mod_revision) for one in first.compares] == [
+        (MEMBERS + "n1", 0),
+        (ROSTER + "n1", 0),
+    ]
     again = join(snapshot((MEMBERS + "n1", facts()), roster(2)), "n1", mine)
-    assert [(one.key, one.mod) for one in again.compares] == [(MEMBERS + "n1", 5)], "the roster is as it was"
+    assert [(one.key, one.mod_revision) for one in again.compares] == [
+        (MEMBERS + "n1", 5)
+    ], "the roster is as it was"
     assert again.writes[0].lease
     gone = leave(told(facts()), "n1")
     assert gone is not None and {write.value for write in gone.writes} == {None}
@@ -98,6 +103,6 @@
 
 
 def test_the_store_bears_the_same_number_of_beats_whatever_the_fleet() -> None:
-    assert paced_ms(2_000.0, 16) == 2_000.0
+    assert heartbeat_interval_ms(2_000.0, 16) == 2_000.0
     for fleet in (200, 1_000):
-        assert fleet / paced_ms(2_000.0, fleet) * 1_000.0 <= 100.0
+        assert fleet / heartbeat_interval_ms(2_000.0, fleet) * 1_000.0 <= 100.0
