--- a/pearloom/core/calls.py
+++ b/pearloom/core/calls.py
@@ -141,7 +141,7 @@
     request: SetUpRequest
     caller: Caller
     attempts: int = 0  # so far
-    open_attempt: int = -1  # number of the attempt in progress; -1: none
+    current_attempt: int = -1  # number of the attempt in progress; -1: none
     server: str = ""  # of the latest attempt
     arrived_ms: float = 0.0
     sent_ms: float = 0.0
--- a/pearloom/core/exchange.py
+++ b/pearloom/core/exchange.py
@@ -38,7 +38,7 @@
 CAUSE_CUT = 41
 MAX_RECENT_IDS = 20_000  # of finished calls
 RECENT_IDS_TTL_MS = 60_000.0  # ids kept for a whole day would use up the memory
-FULL_STAY_AWAY_US = 1_000_000
+FULL_STAY_AWAY_US = 1_000_000  # for callers that are refused for lack of room
 # Added to the module's wait after an attempt with an uncertain effect: a release reaches a distant server
 # later than the next set-up reaches a near one, so the wait has to hold at the servers too.
 RELEASE_MARGIN_US = 60_000
@@ -168,7 +168,7 @@
 
         A close and a half-close look alike here, and a closed caller must not cause work at a server."""
         call = self._calls.get(call_id)
-        if call is not None and not call.answered and call.open_attempt < 0:
+        if call is not None and not call.answered and call.current_attempt < 0:
             self._refuse(call)
 
     def may_send(self, call_id: str, attempt: int) -> bool:
@@ -177,7 +177,7 @@
         Guards against attempts for callers that left, or whose time ran out, while the attempt waited for a
         connection or for a peer to accept bytes, or while this process was suspended."""
         call = self._calls.get(call_id)
-        if call is None or call.answered or call.open_attempt != attempt:
+        if call is None or call.answered or call.current_attempt != attempt:
             return False
         if self._clock.now_ms() >= call.sent_ms + call.timeout_ms:
             self._abandon_attempt(call, Ending.TIMED_OUT)
@@ -227,10 +227,10 @@
     def handle_answer(self, call_id: str, attempt: int, description: bytes) -> bool:
         """Establish the call that this attempt belongs to; return False if it no longer wants the answer."""
         call = self._calls.get(call_id)
-        if call is None or call.open_attempt != attempt or call.answered:
+        if call is None or call.current_attempt != attempt or call.answered:
             return False
         now = self._clock.now_ms()
-        call.open_attempt, call.is_established, call.established_ms = -1, True, now
+        call.current_attempt, call.is_established, call.established_ms = -1, True, now
         self._mark_answered(call)
         self._established.add(call)
         self.reporter.report_answered(call)
@@ -242,7 +242,7 @@
     def attempt_ended(self, call_id: str, attempt: int, error: AttemptError) -> None:
         """End an attempt that was not answered."""
         call = self._calls.get(call_id)
-        if call is not None and call.open_attempt == attempt:
+        if call is not None and call.current_attempt == attempt:
             # An abandoned attempt ends as abandoned, unless the server itself reported another ending.
             abandoned, call.abandoned_as = call.abandoned_as, None
             self._finish_attempt(
@@ -338,7 +338,7 @@
         call = self._calls[call_id]
         attempt = call.attempts
         call.attempts += 1
-        call.open_attempt, call.server, call.sent_ms = attempt, server, self._clock.now_ms()
+        call.current_attempt, call.server, call.sent_ms = attempt, server, self._clock.now_ms()
         call.timeout_ms = timeout_us / 1000.0
         self._counters.add("attempts")
         self.after_ms(call.timeout_ms, lambda: self._abandon_attempt(call, Ending.TIMED_OUT, attempt))
@@ -356,7 +356,11 @@
 
     def _abandon_attempt(self, call: Call, ending: Ending, attempt: int | None = None) -> None:
         """End the attempt in progress, if any; where `attempt` is given, only if it is that one."""
-        if call.open_attempt < 0 or call.abandoned_as is not None or attempt not in (None, call.open_attempt):
+        if (
+            call.current_attempt < 0
+            or call.abandoned_as is not None
+            or attempt not in (None, call.current_attempt)
+        ):
             return
         progress = self._servers.give_up(call.server, call.request.call)
         if progress is None:
@@ -366,7 +370,7 @@
 
     def _finish_attempt(self, call: Call, ending: Ending, error: AttemptError | None = None) -> None:
         """Report the one ending of an attempt that was not answered."""
-        attempt, call.open_attempt = call.open_attempt, -1
+        attempt, call.current_attempt = call.current_attempt, -1
         self._counters.add(f"attempts_{ending.name.lower()}")
         event = self.reporter.attempt_event(call, attempt, ending, call.answered, error)
         self._forget_if_finished(call)
@@ -387,7 +391,7 @@
         self._pending.remove(call.request)
 
     def _forget_if_finished(self, call: Call) -> None:
-        if call.answered and not call.is_established and call.open_attempt < 0:
+        if call.answered and not call.is_established and call.current_attempt < 0:
             self._calls.pop(call.request.call, None)
             self._remember_id(call.request.call)
 
