--- a/tests/races/test_coordinator.py
+++ b/tests/races/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator whose stream falls silent, repeats itself, is told too late or moves."""
+"""A coordinator that falls silent, repeats list events, sends old ones or moves to another address."""
 
 from __future__ import annotations
 
@@ -7,64 +7,66 @@
 
 from pearloom.servers import coordinator
 from tests.player import encode
-from tests.races.scene import Scene, scene, set_up
+from tests.races.harness import Harness, harness, set_up
 
-__all__ = ["scene"]
-ASKED_FROM_1 = "0000000000000001"
-DRAINS_1 = "02 00000001 {a1} {p1} 01 00 00 0000 000003e8 0000000000000000"
+__all__ = ["harness"]
+REQUEST_FROM_1 = "0000000000000001"
+DRAINING_1 = "02 00000001 {a1} {p1} 01 00 00 0000 000003e8 0000000000000000"
 READY_1 = "02 00000001 {a1} {p1} 00 00 00 0000 000003e8 0000000000000000"
 
 
-def test_a_stream_that_never_completes_a_frame_is_asked_again(
-    scene: Scene, monkeypatch: pytest.MonkeyPatch
+def test_a_stream_that_never_completes_a_frame_is_requested_again(
+    harness: Harness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a byte now and then that makes a silent stream look alive."""
+    """Guards against single bytes that make a silent stream look alive."""
     monkeypatch.setattr(coordinator, "FRAME_TIMEOUT_S", 0.2)
-    scene.do(("co", "opens", ""), ("co", "<", ASKED_FROM_1), ("co", ">", "[0000000000000000 00]"))
-    first = scene.peers["co"]
-    frame = encode(scene.filled(f"[0000000000000002 {DRAINS_1}]"))
+    harness.play_steps(("co", "opens", ""), ("co", "<", REQUEST_FROM_1), ("co", ">", "[0000000000000000 00]"))
+    first_stream = harness.peers["co"]
+    frame = encode(harness.filled(f"[0000000000000002 {DRAINING_1}]"))
 
     def trickle() -> None:
         for byte in frame[:-1]:
-            first.send(bytes([byte]))
+            first_stream.send(bytes([byte]))
             gevent.sleep(0.05)
 
-    with gevent.Timeout(5, TimeoutError("never asked again")):
+    with gevent.Timeout(5, TimeoutError("no second request")):
         sender = gevent.spawn(trickle)
-        scene.step("co", "opens", "again")
-        scene.step("again", "<", ASKED_FROM_1)
+        harness.step("co", "opens", "again")
+        harness.step("again", "<", REQUEST_FROM_1)
         sender.kill()
 
 
-def test_a_coordinator_moved_in_the_middle_of_a_frame_is_asked_for_all_of_it(scene: Scene) -> None:
-    scene.do(("co", "opens", ""), ("co", "<", ASKED_FROM_1))
-    frame = encode(scene.filled(f"[0000000000000002 {DRAINS_1}]"))
-    scene.peers["co"].sendall(frame[:20])
-    scene.settle()
-    scene.do(("sighup", "cp", ""), ("cp", "opens", ""), ("cp", "<", ASKED_FROM_1))
-    scene.peers["cp"].sendall(frame)
-    scene.do(("log", "", "list index=2"))
+def test_a_frame_cut_by_a_move_of_the_coordinator_is_requested_again(harness: Harness) -> None:
+    harness.play_steps(("co", "opens", ""), ("co", "<", REQUEST_FROM_1))
+    frame = encode(harness.filled(f"[0000000000000002 {DRAINING_1}]"))
+    harness.peers["co"].sendall(frame[:20])
+    harness.settle()
+    harness.play_steps(("sighup", "cp", ""), ("cp", "opens", ""), ("cp", "<", REQUEST_FROM_1))
+    harness.peers["cp"].sendall(frame)
+    harness.play_steps(("log", "", "list index=2"))
 
 
-@pytest.mark.parametrize("late", [READY_1, "01"])
-def test_a_list_that_comes_again_or_is_older_changes_nothing(scene: Scene, late: str) -> None:
-    """Guards against a server that drains and gets new set-ups since an old event was told again."""
-    scene.do(("co", "opens", ""), ("co", ">", f"[0000000000000003 {DRAINS_1}]"), ("log", "", "list index=3"))
+@pytest.mark.parametrize("old_event", [READY_1, "01"])
+def test_a_repeated_or_older_list_event_changes_nothing(harness: Harness, old_event: str) -> None:
+    """Guards against new set-ups to a draining server because an old list event was repeated."""
+    harness.play_steps(
+        ("co", "opens", ""), ("co", ">", f"[0000000000000003 {DRAINING_1}]"), ("log", "", "list index=3")
+    )
     for number in (1, 2, 3):
-        scene.do(("co", ">", f"[{number:016x} {late}]"))
-    scene.do(("co", ">", "[0000000000000000 00]"))
-    scene.settle()
-    scene.do(("c1", ">", set_up()))
-    scene.invited("s2")
-    assert scene.softswitch.coordinator.index == 3
-    assert scene.softswitch.counters.get("list_events_in") == 1
+        harness.play_steps(("co", ">", f"[{number:016x} {old_event}]"))
+    harness.play_steps(("co", ">", "[0000000000000000 00]"))
+    harness.settle()
+    harness.play_steps(("c1", ">", set_up()))
+    harness.await_invite("s2")
+    assert harness.softswitch.coordinator.index == 3
+    assert harness.softswitch.counters.get("list_events_in") == 1
 
 
-def test_an_empty_whole_list_takes_no_new_set_up_and_the_next_one_does(scene: Scene) -> None:
-    scene.do(
+def test_with_an_empty_list_a_set_up_waits_until_the_next_list(harness: Harness) -> None:
+    harness.play_steps(
         ("co", "opens", ""), ("co", ">", "[0000000000000002 01]"), ("log", "", "list index=2 whole=True")
     )
-    scene.do(("c1", ">", set_up()))
-    assert b"INVITE " not in scene.received_by("s1") + scene.received_by("s2")
-    scene.do(("co", ">", f"[0000000000000003 {READY_1}]"), ("log", "", "list index=3"))
-    scene.invited("s1")  # it waited for a gate, and is sent at once
+    harness.play_steps(("c1", ">", set_up()))
+    assert b"INVITE " not in harness.received_by("s1") + harness.received_by("s2")
+    harness.play_steps(("co", ">", f"[0000000000000003 {READY_1}]"), ("log", "", "list index=3"))
+    harness.await_invite("s1")  # the set-up waited, and is sent at once
--- a/tests/races/test_servers.py
+++ b/tests/races/test_servers.py
@@ -1,4 +1,4 @@
-"""Session servers whose connections come up late, end at the wrong instant or move while they are dialled."""
+"""Session servers whose connections open late, end at the worst moment, or move while being dialled."""
 
 from __future__ import annotations
 
@@ -13,120 +13,124 @@
 from pearloom.core.calls import NullCaller, SetUpRequest
 from pearloom.core.connection import Connection, OutboundMessage
 from tests.player import encode
-from tests.races.scene import CALL, SECOND, Scene, dials_held, scene, set_up
+from tests.races.harness import CALL, SECOND, Harness, connects_blocked, harness, set_up
 
-__all__ = ["scene"]
+__all__ = ["harness"]
 ANSWER = f"SIP/2.0 200 OK\r\nCall-ID: {CALL}\r\nCSeq: 1 INVITE\r\nContent-Length: 5\r\n\r\nsdp-s".encode()
-EMPTY = b"Content-Length: 0\r\n\r\n"
-STANDS = f'(09 {CALL} 30("sdp-s"))'
+NO_BODY = b"Content-Length: 0\r\n\r\n"
+ESTABLISHED = f'(09 {CALL} 30("sdp-s"))'
 
 
-def test_a_server_is_dialled_again_after_a_time_without_descriptors(
-    scene: Scene, monkeypatch: pytest.MonkeyPatch
+def test_a_server_is_dialled_again_after_a_shortage_of_descriptors(
+    harness: Harness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a server that is never dialled again since one socket could not be made."""
-    scene.do(("s1", "resets", ""), ("log", "", "server_closed"))
+    """Guards against a server that is never dialled again after one socket could not be created."""
+    harness.play_steps(("s1", "resets", ""), ("log", "", "server_closed"))
 
-    def no_descriptor(*kind: int) -> None:
+    def fail_without_descriptor(*arguments: int) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
 
     with monkeypatch.context() as patch:
-        patch.setattr(gevent_socket, "socket", no_descriptor)
-        scene.softswitch.servers._trunks["s-00000001"].dial()
-        scene.do(("log", "", "dial_failed"))
-    scene.softswitch.servers._trunks["s-00000001"].dial()
-    scene.do(("s1", "opens", ""))
+        patch.setattr(gevent_socket, "socket", fail_without_descriptor)
+        harness.softswitch.servers._trunks["s-00000001"].dial()
+        harness.play_steps(("log", "", "dial_failed"))
+    harness.softswitch.servers._trunks["s-00000001"].dial()
+    harness.play_steps(("s1", "opens", ""))
 
 
-def test_a_server_that_moved_while_it_was_dialled_is_dialled_at_its_new_address(
-    scene: Scene, monkeypatch: pytest.MonkeyPatch
+def test_a_server_that_moved_while_being_dialled_is_dialled_at_its_new_address(
+    harness: Harness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Server 1 is told at the address of server 3.
+    # The list gives server 1 the address of server 3.
     moved = "[0000000000000002 02 00000001 {a3} {p3} 00 00 00 0000 000003e8 0000000000000000]"
-    scene.do(("co", "opens", ""), ("s1", "resets", ""), ("log", "", "server_closed"))
-    with dials_held(monkeypatch) as gate:
-        scene.do(("c1", ">", set_up()))
-        scene.settle()
-        scene.do(("co", ">", moved), ("log", "", "list index=2"))
-        gate.set()
-        scene.do(("s3", "opens", ""))
-    scene.invited("s3")
-
-
-def test_no_second_connection_to_a_server_where_descriptors_are_short(scene: Scene) -> None:
-    """Guards against many connections to servers that leave nothing for the coordinator and operators."""
-    scene.softswitch.servers._most_connections = 2  # one for each server
-    drains_2 = "[0000000000000002 02 00000002 {a2} {p2} 01 00 00 0001 000003e8 0000000000000000]"
-    scene.do(("co", "opens", ""), ("co", ">", drains_2), ("log", "", "list index=2"), ("c1", ">", set_up()))
-    scene.invited("s1")
-    scene.do(("c1", ">", set_up(SECOND, kind="save-answers")))
-    scene.invited("s1")
-    scene.settle()
-    assert [trunk.connections for trunk in scene.softswitch.servers._trunks.values()] == [1, 1]
-
-
-def test_a_whole_list_that_drops_a_server_leaves_the_call_that_is_out_there(scene: Scene) -> None:
-    whole = "[0000000000000002 01 00000002 {a2} {p2} 00 00 00 0001 000003e8 0000000000000000]"
-    scene.do(("co", "opens", ""), ("c1", ">", set_up()))
-    scene.invited("s1")
-    scene.do(("co", ">", whole), ("log", "", "list index=2 whole=True"))
-    scene.peers["s1"].sendall(ANSWER)
-    scene.do(("c1", "<", STANDS))
-    scene.do(("c2", ">", set_up(SECOND)))
-    scene.invited("s2")  # the first choice is gone
-
-
-def test_a_set_up_whose_time_ran_out_while_a_connection_came_up_is_not_sent(
-    scene: Scene, monkeypatch: pytest.MonkeyPatch
+    harness.play_steps(("co", "opens", ""), ("s1", "resets", ""), ("log", "", "server_closed"))
+    with connects_blocked(monkeypatch) as unblocked:
+        harness.play_steps(("c1", ">", set_up()))
+        harness.settle()
+        harness.play_steps(("co", ">", moved), ("log", "", "list index=2"))
+        unblocked.set()
+        harness.play_steps(("s3", "opens", ""))
+    harness.await_invite("s3")
+
+
+def test_no_second_connection_to_a_server_when_descriptors_are_scarce(harness: Harness) -> None:
+    """Guards against server connections that leave no descriptors for the coordinator and operators."""
+    harness.softswitch.servers._most_connections = 2  # one for each server
+    draining_2 = "[0000000000000002 02 00000002 {a2} {p2} 01 00 00 0001 000003e8 0000000000000000]"
+    harness.play_steps(
+        ("co", "opens", ""), ("co", ">", draining_2), ("log", "", "list index=2"), ("c1", ">", set_up())
+    )
+    harness.await_invite("s1")
+    harness.play_steps(("c1", ">", set_up(SECOND, class_name="save-answers")))
+    harness.await_invite("s1")
+    harness.settle()
+    assert [trunk.connections for trunk in harness.softswitch.servers._trunks.values()] == [1, 1]
+
+
+def test_a_complete_list_without_a_server_leaves_its_open_attempt_running(harness: Harness) -> None:
+    complete_list = "[0000000000000002 01 00000002 {a2} {p2} 00 00 00 0001 000003e8 0000000000000000]"
+    harness.play_steps(("co", "opens", ""), ("c1", ">", set_up()))
+    harness.await_invite("s1")
+    harness.play_steps(("co", ">", complete_list), ("log", "", "list index=2 whole=True"))
+    harness.peers["s1"].sendall(ANSWER)
+    harness.play_steps(("c1", "<", ESTABLISHED))
+    harness.play_steps(("c2", ">", set_up(SECOND)))
+    harness.await_invite("s2")  # the first choice is no longer listed
+
+
+def test_a_set_up_that_timed_out_while_a_connection_opened_is_not_sent(
+    harness: Harness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a set-up that leaves before its time-out is looked at, as after standing still."""
-    with dials_held(monkeypatch) as gate:
-        scene.do(("s1", "resets", ""), ("log", "", "server_closed"), ("c1", ">", set_up()))
-        scene.settle()
-        scene.clock.set_ms(scene.clock.now_ms() + 3000)  # no timer has had its turn
-        gate.set()
-        scene.do(("s1", "opens", ""))
-    assert b"INVITE " not in scene.received_by("s1")
-
-
-def test_a_set_up_that_meets_a_close_not_read_yet_goes_out_on_a_new_connection_at_once(scene: Scene) -> None:
-    """Guards against doubt, and its pause, over a set-up that a closed connection can't have brought."""
-    scene.peers["s1"].close()
-    offer = SetUpRequest(CALL, 0, "open-form", "7f3a9c21e0b4d655", b"sdp-c", 3000.0, 0)
-    scene.softswitch.exchange.handle_set_up(offer, NullCaller())  # nobody has had a turn since the close
-    scene.do(("s1", "opens", ""))
-    scene.invited("s1")
-
-
-def test_an_idle_connection_is_closed_before_its_server_does(scene: Scene) -> None:
-    """Guards against set-ups that cross the server's close, where settings make that frequent."""
-    trunk = scene.softswitch.servers._trunks["s-00000001"]
+    """Guards against a set-up that is sent before its time-out is checked, as after a suspension."""
+    with connects_blocked(monkeypatch) as unblocked:
+        harness.play_steps(("s1", "resets", ""), ("log", "", "server_closed"), ("c1", ">", set_up()))
+        harness.settle()
+        harness.clock.set_ms(harness.clock.now_ms() + 3000)  # no timer has run
+        unblocked.set()
+        harness.play_steps(("s1", "opens", ""))
+    assert b"INVITE " not in harness.received_by("s1")
+
+
+def test_a_set_up_for_a_connection_with_an_unread_close_is_sent_on_a_new_one_at_once(
+    harness: Harness,
+) -> None:
+    """Guards against an uncertain attempt, and its pause, where the closed connection delivered nothing."""
+    harness.peers["s1"].close()
+    request = SetUpRequest(CALL, 0, "open-form", "7f3a9c21e0b4d655", b"sdp-c", 3000.0, 0)
+    harness.softswitch.exchange.handle_set_up(request, NullCaller())  # no greenlet has run since the close
+    harness.play_steps(("s1", "opens", ""))
+    harness.await_invite("s1")
+
+
+def test_an_idle_connection_is_closed_before_its_server_closes_it(harness: Harness) -> None:
+    """Guards against set-ups that cross the server's close, which short idle times make frequent."""
+    trunk = harness.softswitch.servers._trunks["s-00000001"]
     trunk._links._idle_ms = 2000.0  # type: ignore[attr-defined]
-    scene.do(("c1", ">", set_up()))
-    scene.invited("s1")
-    scene.pass_ms(1900)
-    assert trunk.connections == 1, "a set-up is open on it"
-    scene.peers["s1"].sendall(ANSWER)
-    scene.do(("c1", "<", STANDS), ("clock", "1900", ""))
-    scene.peers["s1"].sendall(f"BYE sip:x SIP/2.0\r\nCall-ID: {CALL}\r\nCSeq: 9 BYE\r\n".encode() + EMPTY)
-    scene.do(("c1", "<", f"(0c {CALL} 2d(10))"), ("clock", "1900", ""))
-    scene.settle()
-    assert trunk.connections == 1, "it was used since"
-    scene.pass_ms(200)
-    scene.settle()
+    harness.play_steps(("c1", ">", set_up()))
+    harness.await_invite("s1")
+    harness.advance_ms(1900)
+    assert trunk.connections == 1, "an attempt is in progress on it"
+    harness.peers["s1"].sendall(ANSWER)
+    harness.play_steps(("c1", "<", ESTABLISHED), ("clock", "1900", ""))
+    harness.peers["s1"].sendall(f"BYE sip:x SIP/2.0\r\nCall-ID: {CALL}\r\nCSeq: 9 BYE\r\n".encode() + NO_BODY)
+    harness.play_steps(("c1", "<", f"(0c {CALL} 2d(10))"), ("clock", "1900", ""))
+    harness.settle()
+    assert trunk.connections == 1, "it was used less than 2 s ago"
+    harness.advance_ms(200)
+    harness.settle()
     assert trunk.connections == 0
 
 
-def test_an_answer_together_with_a_close_counts(scene: Scene) -> None:
-    scene.do(("c1", ">", set_up()))
-    scene.invited("s1")
-    scene.peers["s1"].sendall(ANSWER)
-    scene.peers["s1"].close()
-    scene.do(("c1", "<", STANDS))
+def test_an_answer_followed_at_once_by_a_close_establishes_the_call(harness: Harness) -> None:
+    harness.play_steps(("c1", ">", set_up()))
+    harness.await_invite("s1")
+    harness.peers["s1"].sendall(ANSWER)
+    harness.peers["s1"].close()
+    harness.play_steps(("c1", "<", ESTABLISHED))
 
 
-def test_what_came_before_a_close_is_read_though_a_write_fails_first() -> None:
-    """Guards against an answer thrown away since the next message met the close before it was read."""
+def test_data_before_a_close_is_read_even_if_a_write_fails_first() -> None:
+    """Guards against an answer lost because the next message failed on the close before it was read."""
     listener = gevent_socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen()
@@ -139,7 +143,7 @@
     gevent.sleep(0)
     far.sendall(b"answer")
     far.close()
-    near.send(b"x")  # the far end answers it with a reset, which comes while nobody here has a turn
+    near.send(b"x")  # the far end replies with a reset, which arrives while no greenlet runs here
     time.sleep(0.02)
     connection.send(OutboundMessage(b"y"))
     with gevent.Timeout(5):
@@ -148,7 +152,7 @@
     assert read == [b"answer"]
 
 
-def test_a_write_that_the_peer_never_takes_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_that_the_peer_never_accepts_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(core_connection, "WRITE_TIMEOUT_S", 0.1)
     listener = gevent_socket.socket()
     listener.setsockopt(gevent_socket.SOL_SOCKET, gevent_socket.SO_RCVBUF, 4096)
@@ -169,33 +173,34 @@
     near.close()
 
 
-@pytest.mark.parametrize("cut", range(1, len(ANSWER), 7))
-def test_an_answer_in_two_pieces_is_one_answer(scene: Scene, cut: int) -> None:
-    scene.do(("c1", ">", set_up()))
-    scene.invited("s1")
-    scene.peers["s1"].sendall(ANSWER[:cut])
-    scene.settle()
-    scene.peers["s1"].sendall(ANSWER[cut:] + ANSWER)  # and a second one together with the rest
-    scene.do(("c1", "<", STANDS))
-    scene.settle()
-    assert scene.softswitch.counters.get("answers_out") == 1
+@pytest.mark.parametrize("split_at", range(1, len(ANSWER), 7))
+def test_an_answer_in_two_segments_is_one_answer(harness: Harness, split_at: int) -> None:
+    harness.play_steps(("c1", ">", set_up()))
+    harness.await_invite("s1")
+    harness.peers["s1"].sendall(ANSWER[:split_at])
+    harness.settle()
+    harness.peers["s1"].sendall(ANSWER[split_at:] + ANSWER)  # followed by a duplicate in the same segment
+    harness.play_steps(("c1", "<", ESTABLISHED))
+    harness.settle()
+    assert harness.softswitch.counters.get("answers_out") == 1
 
 
-def test_a_set_up_in_pieces_of_one_byte_is_one_set_up(scene: Scene) -> None:
+def test_a_set_up_in_segments_of_one_byte_is_one_set_up(harness: Harness) -> None:
     for byte in encode(set_up()):
-        scene.peers["c1"].sendall(bytes([byte]))
-        scene.settle()
-    scene.invited("s1")
-    assert scene.softswitch.counters.get("set_ups_in") == 1
+        harness.peers["c1"].sendall(bytes([byte]))
+        harness.settle()
+    harness.await_invite("s1")
+    assert harness.softswitch.counters.get("set_ups_in") == 1
 
 
-def test_floods_of_set_ups_and_withdrawals_leave_nothing_behind(scene: Scene) -> None:
+def test_a_flood_of_set_ups_and_withdrawals_leaves_no_call_behind(harness: Harness) -> None:
     calls = [f"{number:016x}" for number in range(1, 200)]
     flood = "".join(set_up(call) for call in calls) + "".join(f"(0c {call} 2d(10))" for call in calls)
-    scene.peers["c1"].sendall(encode(flood))
+    harness.peers["c1"].sendall(encode(flood))
     with gevent.Timeout(5):
         while (
-            scene.softswitch.counters.get("set_ups_in") < len(calls) or scene.softswitch.exchange.open_calls
+            harness.softswitch.counters.get("set_ups_in") < len(calls)
+            or harness.softswitch.exchange.open_calls
         ):
-            scene.settle()
-    assert not scene.softswitch.exchange._calls
+            harness.settle()
+    assert not harness.softswitch.exchange._calls
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recording under tests/exchanges, played against the softswitch on loopback."""
+"""Plays every recording under tests/exchanges against the softswitch on loopback."""
 
 from __future__ import annotations
 
