--- a/pearloom/core/errors.py
+++ b/pearloom/core/errors.py
@@ -30,7 +30,7 @@
     ending: Ending | None = None
     processor_full: bool = False
     no_line: bool = False
-    line_only: bool = False  # only its connection ended, which says nothing of the server's health
+    is_connection_fault: bool = False  # only its connection ended, which says nothing of the server's health
 
     def implied_ending(self) -> Ending:
         """Return the ending that this error proves.
--- a/pearloom/core/reporting.py
+++ b/pearloom/core/reporting.py
@@ -87,5 +87,5 @@
             call_over=call_over,
             processor_full=error is not None and error.processor_full,
             no_line=error is not None and error.no_line,
-            is_connection_fault=error is not None and error.line_only,
+            is_connection_fault=error is not None and error.is_connection_fault,
         )
--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -101,7 +101,9 @@
         if link is not None and link.connection.peer_ended:
             # Guards against a set-up in doubt since it crossed a close that had come and was not read yet.
             link.ended = outbound.withdrawn = True
-            self._failed(outbound, AttemptError(Progress.CONNECTING, "closed by server", line_only=True))
+            self._failed(
+                outbound, AttemptError(Progress.CONNECTING, "closed by server", is_connection_fault=True)
+            )
             return False
         return self._exchange.may_send(outbound.call, outbound.set_up.attempt)
 
@@ -269,7 +271,7 @@
         if link.open:
             self._hand_shakes.broke(self.now_ms)
         for set_up in list(link.open.values()):
-            self._failed(set_up, AttemptError(set_up.progress, reason, line_only=not self._dead))
+            self._failed(set_up, AttemptError(set_up.progress, reason, is_connection_fault=not self._dead))
         again = self._byes.unexpired(self.now_ms)
         if self._links:
             for outbound in again:
