--- a/tests/races/harness.py
+++ b/tests/races/harness.py
@@ -45,7 +45,7 @@
                 received += self.peers[server].recv(65536)
 
     def settle(self) -> None:
-        """Return once the softswitch has processed everything received so far, as two tests show."""
+        """Wait until two test messages are answered, so that all data sent before has been processed."""
         for _ in range(2):
             self.play_steps(
                 ("c2", ">", "(34 00000000000000ff 2d(00))"), ("c2", "<", "(35 00000000000000ff 2d(01))")
--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -119,7 +119,7 @@
         assert running.process.wait(5) == 0
 
 
-def test_sigterm_during_a_drain_lets_an_open_call_be_answered(running: RunningProgram) -> None:
+def test_sigterm_during_a_drain_still_answers_an_open_call(running: RunningProgram) -> None:
     with running.connect_caller() as caller, closing(running.server.accept()[0]) as trunk:
         caller.sendall(encode(SET_UP))
         assert b"INVITE" in trunk.recv(1000)
@@ -223,9 +223,8 @@
 def test_sigterm_to_the_previous_process_during_a_hand_over_loses_no_caller(tmp_path: Path) -> None:
     """Guards against a previous process that exits before the next one accepts: its listen queue is lost."""
     address = ("127.0.0.1", free_port())
-    dial = socket.create_server(
-        ("127.0.0.1", 0), backlog=8
-    )  # listens, but never accepts: the next process waits 1 s
+    # Listens but never accepts, so the next process waits 1 s.
+    dial = socket.create_server(("127.0.0.1", 0), backlog=8)
     host = {"host": "s-00000001", "dial": "127.0.0.1:%d" % dial.getsockname()[1], "health": "in_service"}
     known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": [host]}}]}
     config = {**TOLD, "listen": "%s:%d" % address, "known": known}
@@ -237,10 +236,8 @@
     await_line(following, "started")
     for _ in range(3):
         with socket.create_connection(address, timeout=5) as caller:
-            assert ask(caller) in (
-                encode(PASSED),
-                encode(FAILED),
-            )  # the previous process fails tests while it stops
+            # The previous process answers test messages with a failure while it stops.
+            assert ask(caller) in (encode(PASSED), encode(FAILED))
     assert previous.wait(5) == 0
     with socket.create_connection(address, timeout=5) as caller:
         assert ask(caller) == encode(PASSED)
@@ -262,9 +259,7 @@
         harness.softswitch.handover.listen(path)
         inherited = handover.ask(path)
         assert inherited is not None
-        assert {listed.entry.server: listed.zone for listed in inherited.listed.servers}[
-            "s-00000009"
-        ] == "east"
+        assert {item.entry.server: item.zone for item in inherited.listed.servers}["s-00000009"] == "east"
     finally:
         harness.close()
 
