--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -21,14 +21,14 @@
 )
 
 FLEET_GUARDS = (
-    Guard("a lease counts from its asking, less drift", "coordination/timing.py", "asked_ms + self.ttl_ms * (1.0 - DRIFT)", "asked_ms + self.ttl_ms * 9.0", (LINK,)),
+    Guard("a lease counts from its asking, less drift", "coordination/timing.py", "asked_ms + self.ttl_ms * (1.0 - MAX_CLOCK_DRIFT)", "asked_ms + self.ttl_ms * 9.0", (LINK,)),
     Guard("pauses are drawn", "coordination/timing.py", "return pause * (0.1 + 0.9 * self._random.random())", "return pause * 2", (LINK,)),
     Guard("changes follow what was read", "coordination/port.py", "changes.cluster != snapshot.cluster or changes.revision < snapshot.revision", "False", (LINK,)),
     Guard("an older value is no win", "coordination/port.py", "entry.mod_revision > compared.get(write.key, 0)", "True", (LINK,)),
     Guard("nothing is tried on an ended lease", "coordination/link.py", "if not self.may_act() and any(", "if False and any(", (LINK,)),
     Guard("an older store is named", "coordination/link.py", "if (found.cluster, found.revision) < (cluster, revision) or (", "if False and (", (LINK,)),
     Guard("a lost reply is read back", "coordination/link.py", "return self._read_back(attempt)", "return Outcome.UNKNOWN", (LINK,)),
-    Guard("a lease that is never answered is left to end", "coordination/link.py", "held = self.lease.hold(now) is Hold.HELD", "held = bool(self.lease.number)", (LINK,)),
+    Guard("a lease that is never answered is left to end", "coordination/link.py", "held = self.lease.state(now) is LeaseState.HELD", "held = bool(self.lease.lease_id)", (LINK,)),
     Guard("a step compares the head's value", "rules/head.py", "Compare(HEAD, there.mod, there.value)", "Compare(HEAD, there.mod)", (HEAD,)),
     Guard("an older head is not obeyed", "rules/head.py", "return head.number == seen.number and head.tag == seen.tag", "return True", (HEAD,)),
     Guard("one rollout at a time", "rules/head.py", "if rollout is not None and rollout.goes_on:\n        first", "if False:\n        first", (HEAD,)),
@@ -62,12 +62,12 @@
     Guard("machines out are limited", "maintenance/order.py", "self._out >= limits.out:", "False:", (ORDER,)),
     Guard("those of a zone are limited", "maintenance/order.py", "self._zones[slot.zone] >= limits.out_zone", "False", (ORDER,)),
     Guard("capacity has a floor", "maintenance/order.py", "if remains < max(", "if False and remains < max(", (ORDER,)),
-    Guard("a grant compares with the gate", "maintenance/steps.py", "(compare, slots.gate_compare, slots.limits_compare)", "(compare, slots.limits_compare)", (MODEL,)),
+    Guard("a grant compares with the gate", "maintenance/steps.py", "(compare, slots.ledger_compare, slots.limits_compare)", "(compare, slots.limits_compare)", (MODEL,)),
     Guard("a grant is for one life", "maintenance/steps.py", "slot.grant == own.incarnation", "True", (ORDER,)),
-    Guard("one that died on its turn is out", "maintenance/steps.py", "            if away or reborn:\n                return _step(held, Phase.OUT, DIED + \"turn\")\n            if slot.kind", "            if slot.kind", (ORDER,)),
+    Guard("one that died on its turn is out", "maintenance/steps.py", "            if away or reborn:\n                return _step(held, Phase.OUT, DIED_PREFIX + \"turn\")\n            if slot.kind", "            if slot.kind", (ORDER,)),
     Guard("a machine has one turn", "maintenance/records.py", "if (slot.kind, slot.machine) in names:", "if False:", (ORDER,)),
     Guard("what is withheld stays so", "servers/discovery.py", "self._tell(kind, [shown(server, self.withheld) for server in servers])", "self._tell(kind, servers)", ("tests/test_discovery.py",)),
-    Guard("one that woke takes calls again", "maintenance/host.py", "and not slot.note.startswith(steps.DIED)", "", (f"{FLEET}::test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant",)),
+    Guard("one that woke takes calls again", "maintenance/host.py", "and not slot.note.startswith(steps.DIED_PREFIX)", "", (f"{FLEET}::test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant",)),
     Guard("depth of the operator's file", "records/language.py", "if depth > MOST_DEPTH:", "if False:", ("tests/test_records.py",)),
     Guard("fields that nobody asked for", "records/check.py", "if key not in self._asked:", "if False:", ("tests/test_records.py",)),
 )  # fmt: skip
--- a/pearloom/coordination/etcd.py
+++ b/pearloom/coordination/etcd.py
@@ -19,7 +19,7 @@
 from requests.adapters import HTTPAdapter
 
 from pearloom.coordination.port import (
-    MOST_VALUE_BYTES,
+    MAX_VALUE_BYTES,
     Changes,
     Entry,
     Snapshot,
@@ -94,7 +94,7 @@
 
         return self._call(write)
 
-    def attempt(self, attempt: Transaction, lease: int) -> bool:
+    def commit(self, attempt: Transaction, lease: int) -> bool:
         """One transaction; False where a compare did not hold."""
         payload = {
             "compare": [
@@ -131,7 +131,7 @@
         """A new lease."""
         return self._call(lambda client: int(client.lease(ttl_s).id))
 
-    def keep(self, lease: int) -> bool:
+    def keep_alive(self, lease: int) -> bool:
         """Renew a lease; False where it is over."""
         return self._call(lambda client: Lease(lease, client).refresh() > 0)
 
@@ -191,7 +191,7 @@
 
     def _entry(self, kv: Mapping[str, Any]) -> Entry:
         value = b64decode(kv.get("value", ""))
-        if len(value) > MOST_VALUE_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             value = b""  # read as a value that can't be used, whoever reads it; the others stay of use
         return Entry(
             self._name(kv),
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -22,11 +22,11 @@
     Store,
     StoreError,
     Transaction,
-    applied,
+    apply_changes,
     took_effect,
 )
 from pearloom.coordination.settings import StoreSettings
-from pearloom.coordination.timing import Backoff, Freshness, Hold, LocalLease
+from pearloom.coordination.timing import Backoff, Freshness, LeaseState, LocalLease
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
 
@@ -59,11 +59,11 @@
         self.lease = LocalLease(settings.lease_s * 1000.0)
         self.freshness = Freshness(settings.fresh_ms)
         self.snapshot: Snapshot | None = None
-        self.highest: tuple[int, int] = (0, 0)  # cluster and revision: the newest that this process ever read
+        # Cluster and revision of the newest snapshot that this process has read.
+        self.newest_revision: tuple[int, int] = (0, 0)
         self.on_change: list[Callable[[Snapshot], None]] = []
-        self.on_lease_granted: list[
-            Callable[[], None]
-        ] = []  # a new lease was granted: what hung on the old one is gone
+        # Called after a new lease was granted; the keys bound to the lease before it are gone.
+        self.on_lease_granted: list[Callable[[], None]] = []
         self._changed = Event()
         self._up = True
         self._greenlets: list[gevent.Greenlet[..., None]] = []
@@ -75,19 +75,19 @@
     def close(self, release_s: float = 0.5) -> None:
         """Ask no more; the lease is given back if the store answers in that time."""
         gevent.killall(self._greenlets, timeout=0.1)
-        if self.lease.number:
-            number = self.lease.number
+        if self.lease.lease_id:
+            number = self.lease.lease_id
             self.lease.ended()
             gevent.spawn(self._quietly, lambda: self._store.revoke(number)).join(release_s)
 
     @property
     def is_fresh(self) -> bool:
         """May something new be started on what is at hand?"""
-        return self.snapshot is not None and self.freshness.fresh(self._now_ms())
+        return self.snapshot is not None and self.freshness.is_fresh(self._now_ms())
 
     def may_act(self) -> bool:
         """Is the own lease certainly alive at this moment? Asked directly before each deed."""
-        return self.lease.hold(self._now_ms()) is Hold.HELD
+        return self.lease.state(self._now_ms()) is LeaseState.HELD
 
     def await_change(self, timeout_s: float) -> None:
         """Until something changed, or that long."""
@@ -98,18 +98,18 @@
         while True:
             try:
                 self._read()
-                self._read_pause.succeeded()
+                self._read_pause.reset()
                 self._told_up(True)
                 self._watch()
             except StoreError as trouble:
                 self._told_up(False, str(trouble))
-                gevent.sleep(self._read_pause.failed() / 1000.0)
+                gevent.sleep(self._read_pause.record_failure() / 1000.0)
             except Exception:
                 crashed("store_follow_failed")
-                gevent.sleep(self._read_pause.failed() / 1000.0)
+                gevent.sleep(self._read_pause.record_failure() / 1000.0)
 
     def _read(self) -> None:
-        asked, seen = self._now_ms(), self.highest
+        asked, seen = self._now_ms(), self.newest_revision
         self._counters.add("store_reads")
         self._take(self._store.read(), asked, seen)
 
@@ -122,19 +122,19 @@
         assert self.snapshot is not None
         now = self._now_ms()
         if changes.cluster == self.snapshot.cluster and changes.revision <= self.snapshot.revision:
-            self.freshness.read(now)
+            self.freshness.record_read(now)
             return True  # a read of another greenlet had it already
-        found = applied(self.snapshot, changes)
+        found = apply_changes(self.snapshot, changes)
         if found is None:
             note(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
             return False
-        self._take(found, now, self.highest)
+        self._take(found, now, self.newest_revision)
         return True
 
     def _take(self, found: Snapshot, asked_ms: float, seen: tuple[int, int]) -> None:
         """Take a read over; `seen`: the newest that was known when it was asked for."""
         cluster, revision = seen
-        if found.cluster == self.highest[0] and revision <= found.revision < self.highest[1]:
+        if found.cluster == self.newest_revision[0] and revision <= found.revision < self.newest_revision[1]:
             return  # another greenlet's read has overtaken this one
         if (found.cluster, found.revision) < (cluster, revision) or (cluster and found.cluster != cluster):
             # Guards against a store that came back without its last writes and is obeyed silently.
@@ -143,11 +143,13 @@
                 logging.ERROR, "store_diverged", cluster=cluster, seen=revision, told_cluster=found.cluster,
                 told=found.revision,
             )  # fmt: skip
-        self.highest = max(self.highest, (found.cluster, found.revision)) if found.cluster == cluster else (
-            found.cluster, found.revision
-        )  # fmt: skip
+        self.newest_revision = (
+            max(self.newest_revision, (found.cluster, found.revision))
+            if found.cluster == cluster
+            else (found.cluster, found.revision)
+        )
         before, self.snapshot = self.snapshot, found
-        self.freshness.read(asked_ms)
+        self.freshness.record_read(asked_ms)
         if before is None or before.entries != found.entries:
             for told in self.on_change:
                 try:
@@ -171,29 +173,29 @@
     def _keep(self) -> None:
         while True:
             now = self._now_ms()
-            if self.lease.number and now < self.lease.renew_at_ms:
+            if self.lease.lease_id and now < self.lease.renew_at_ms:
                 gevent.sleep(KEEP_LOOK_S)
                 continue
             try:
                 # Guards against a lease that is kept alive by renewals whose answers never come: this process
                 # may not act on it, and the others would take it for live. It is left to end.
-                held = self.lease.hold(now) is Hold.HELD
-                if held and self._store.keep(self.lease.number):
-                    self.lease.granted(self.lease.number, now)
+                held = self.lease.state(now) is LeaseState.HELD
+                if held and self._store.keep_alive(self.lease.lease_id):
+                    self.lease.granted(self.lease.lease_id, now)
                 else:
-                    if self.lease.number:
+                    if self.lease.lease_id:
                         self._counters.add("store_lease_ended")
                         note(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
                     for told in self.on_lease_granted:
                         told()
-                self._lease_pause.succeeded()
+                self._lease_pause.reset()
             except StoreError:
-                gevent.sleep(self._lease_pause.failed() / 1000.0)
+                gevent.sleep(self._lease_pause.record_failure() / 1000.0)
             except Exception:
                 crashed("store_lease_failed")
-                gevent.sleep(self._lease_pause.failed() / 1000.0)
+                gevent.sleep(self._lease_pause.record_failure() / 1000.0)
 
     def read_again(self) -> None:
         """Read all now, where the watch may not have told yet; nothing where the store does not answer."""
@@ -206,7 +208,7 @@
             return Outcome.LOST
         self._counters.add("store_attempts")
         try:
-            won = self._store.attempt(attempt, self.lease.number)
+            won = self._store.commit(attempt, self.lease.lease_id)
         except StoreError as trouble:
             note(logging.WARNING, "store_reply_lost", reason=str(trouble))
             return self._read_back(attempt)
@@ -216,10 +218,10 @@
         pause = Backoff(Random(0))
         for _ in range(READ_BACK_TRIES):
             try:
-                asked, seen = self._now_ms(), self.highest
+                asked, seen = self._now_ms(), self.newest_revision
                 found = self._store.read()
             except StoreError:
-                gevent.sleep(pause.failed() / 1000.0)
+                gevent.sleep(pause.record_failure() / 1000.0)
                 continue
             self._take(found, asked, seen)
             took = took_effect(attempt, attempt.compares, found)
--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Protocol
 
-MOST_VALUE_BYTES = 64 * 1024  # of one key: a larger one was not written by pearloom and is refused unread
+MAX_VALUE_BYTES = 64 * 1024  # of one key: a larger one was not written by pearloom and is refused unread
 
 
 class StoreError(Exception):
@@ -109,13 +109,13 @@
     def read(self) -> Snapshot:
         """All keys below the prefix."""
 
-    def attempt(self, attempt: Transaction, lease: int) -> bool:
+    def commit(self, attempt: Transaction, lease: int) -> bool:
         """Try it; False where a compare did not hold."""
 
     def grant(self, ttl_s: int) -> int:
         """A new lease."""
 
-    def keep(self, lease: int) -> bool:
+    def keep_alive(self, lease: int) -> bool:
         """Renew a lease; False where it is over."""
 
     def revoke(self, lease: int) -> None:
@@ -125,7 +125,7 @@
         """Tell of every change after this revision until it breaks or `told` returns False."""
 
 
-def applied(snapshot: Snapshot, changes: Changes) -> Snapshot | None:
+def apply_changes(snapshot: Snapshot, changes: Changes) -> Snapshot | None:
     """The snapshot with these changes, or None where they don't follow from it and all is to be read anew.
 
     Guards against a watch that goes on at another store, or at one that lost its last writes: its revisions
--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -3,7 +3,7 @@
 Pure: from what the store holds and what one softswitch sees, the one next step and the reason of each wait.
 """
 
-from pearloom.maintenance.order import Fleet, Machine, Wait, queue, waits
+from pearloom.maintenance.order import Fleet, Machine, WaitReason, queue, wait_reasons
 from pearloom.maintenance.records import (
     Limits,
     MachineKind,
@@ -16,6 +16,6 @@
 from pearloom.maintenance.steps import Step, cancel, mark_returned, next_step
 
 __all__ = [
-    "Fleet", "Limits", "Machine", "MachineKind", "MaintenanceError", "Phase", "Slot", "Step", "Wait",
-    "cancel", "mark_returned", "next_step", "queue", "read_slots", "request_slots", "waits",
+    "Fleet", "Limits", "Machine", "MachineKind", "MaintenanceError", "Phase", "Slot", "Step", "WaitReason",
+    "cancel", "mark_returned", "next_step", "queue", "read_slots", "request_slots", "wait_reasons",
 ]  # fmt: skip
--- a/pearloom/maintenance/capacity.py
+++ b/pearloom/maintenance/capacity.py
@@ -15,7 +15,7 @@
 from pearloom.membership.view import Member
 
 
-def weighed(machines: Iterable[Machine], members: Iterable[Member]) -> tuple[Machine, ...]:
+def with_capacities(machines: Iterable[Machine], members: Iterable[Member]) -> tuple[Machine, ...]:
     """The machines with the capacity that the members' gates give them."""
     facts = {one.name: one.facts for one in members if one.facts is not None}
     servers: dict[str, float] = {}
@@ -36,6 +36,6 @@
     return known.get(machine.name, whole / len(known))
 
 
-def load(members: Iterable[Member]) -> float:
+def outstanding_set_ups(members: Iterable[Member]) -> float:
     """Set-ups that are out in the whole fleet."""
     return float(sum(one.facts.outstanding for one in members if one.facts is not None))
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -20,10 +20,10 @@
 from pearloom.core.logs import crashed, note
 from pearloom.interface import PoolState
 from pearloom.maintenance import records, steps
-from pearloom.maintenance.capacity import load, weighed
-from pearloom.maintenance.order import Fleet, Machine, Wait, waits
-from pearloom.maintenance.outages import zones_in_trouble
-from pearloom.maintenance.records import Held, Limits, MachineKind, Phase, Slots
+from pearloom.maintenance.capacity import outstanding_set_ups, with_capacities
+from pearloom.maintenance.order import Fleet, Machine, WaitReason, wait_reasons
+from pearloom.maintenance.outages import zones_with_outage
+from pearloom.maintenance.records import Limits, MachineKind, Phase, Slots, StoredSlot
 from pearloom.maintenance.steps import LocalSoftswitch, Step
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
@@ -100,15 +100,15 @@
         ]  # fmt: skip
         slots = self.slots
         return Fleet(
-            weighed(machines, view.members), self._link.is_fresh,
-            trouble=frozenset() if slots is None else zones_in_trouble(machines, slots),
-            halted=self._hands.halted(), load=load(view.members),
+            with_capacities(machines, view.members), self._link.is_fresh,
+            zones_with_outage=frozenset() if slots is None else zones_with_outage(machines, slots),
+            has_recent_halt=self._hands.halted(), load=outstanding_set_ups(view.members),
         )  # fmt: skip
 
-    def waiting(self) -> list[tuple[Held, Wait | None]]:
+    def waiting(self) -> list[tuple[StoredSlot, WaitReason | None]]:
         """The queue and what each waits for."""
         slots = self.slots
-        return [] if slots is None else waits(slots, self.fleet())
+        return [] if slots is None else wait_reasons(slots, self.fleet())
 
     def read_again(self) -> None:
         """Before an operator's step is computed again."""
@@ -133,7 +133,7 @@
         me, life = self._member.name, self._member.incarnation
         drains = any(
             slot.kind is MachineKind.SOFTSWITCH and slot.machine == me and slot.grant == life
-            and not slot.note.startswith(steps.DIED)
+            and not slot.note.startswith(steps.DIED_PREFIX)
             for slot in held
         )  # fmt: skip
         if drains != self._drains:
@@ -147,7 +147,7 @@
             self._wake.clear()
             gevent.sleep(LOOK_FIRST_S)
             try:
-                self._member.look_again()
+                self._member.refresh_view()
                 self._once()
             except Exception:
                 crashed("maintenance_failed")
@@ -156,7 +156,7 @@
         slots = self.slots
         if slots is None or not self._link.may_act() or not self._link.is_fresh:
             return
-        adopted = records.adopt(slots, self._limits)
+        adopted = records.adopt_limits(slots, self._limits)
         if adopted is not None:
             self._link.commit(adopted)
             return
--- a/pearloom/maintenance/order.py
+++ b/pearloom/maintenance/order.py
@@ -19,16 +19,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from pearloom.maintenance.records import Held, MachineKind, Phase, Slot, Slots
+from pearloom.maintenance.records import MachineKind, Phase, Slot, Slots, StoredSlot
 
 
-class Wait(Enum):
+class WaitReason(Enum):
     """Why a turn does not begin."""
 
     BEHIND = "behind another turn"
     STALE = "the store was not read lately"
     UNREADABLE = "a value in the store can't be read"
-    TROUBLE = "a zone is in trouble"
+    ZONE_OUTAGE = "a zone is in trouble"
     HALTED = "a rollout has just halted"
     ALL = "as many machines are out as may be"
     ZONE = "as many machines of its zone are out as may be"
@@ -46,7 +46,7 @@
     name: str
     zone: str
     cell: str = ""
-    ready: bool = True
+    is_ready: bool = True
     capacity: float = 1.0
     incarnation: int = 0
 
@@ -57,8 +57,8 @@
 
     machines: tuple[Machine, ...]
     is_fresh: bool = True  # what was read of the store is young enough to begin something on
-    trouble: frozenset[str] = frozenset()  # zones
-    halted: bool = False  # a rollout has just halted
+    zones_with_outage: frozenset[str] = frozenset()  # zones
+    has_recent_halt: bool = False  # a rollout has just halted
     load: float = 0.0  # set-ups that are out, in the unit of the capacities; 0 where those are of another
 
     def find(self, kind: MachineKind, name: str) -> Machine | None:
@@ -66,12 +66,12 @@
         return next((one for one in self.machines if one.kind is kind and one.name == name), None)
 
 
-def out(slots: Slots, fleet: Fleet) -> list[tuple[MachineKind, str, str, str]]:
+def machines_out(slots: Slots, fleet: Fleet) -> list[tuple[MachineKind, str, str, str]]:
     """All machines that are out, on their turn or not: kind, name, zone, cell; each once."""
     found = {
         (one.kind, one.name): (one.kind, one.name, one.zone, one.cell)
         for one in fleet.machines
-        if not one.ready
+        if not one.is_ready
     }
     for held in slots.slots:
         slot = held.slot
@@ -84,9 +84,9 @@
     """What is out and what remains, counted once for all turns that wait."""
 
     def __init__(self, slots: Slots, fleet: Fleet) -> None:
-        self._limits, self._trouble, self._load = slots.limits, fleet.trouble, fleet.load
+        self._limits, self._trouble, self._load = slots.limits, fleet.zones_with_outage, fleet.load
         self._machines = {(one.kind, one.name): one for one in fleet.machines}
-        gone = out(slots, fleet)
+        gone = machines_out(slots, fleet)
         self._out = len(gone)
         self._zones = Counter(zone for _, _, zone, _ in gone)
         self._cells = Counter(cell for _, _, _, cell in gone)
@@ -99,42 +99,42 @@
             self._whole[one.kind] += one.capacity
             self._remains[one.kind] += 0.0 if (one.kind, one.name) in names else one.capacity
 
-    def forbids(self, slot: Slot) -> Wait | None:
+    def forbids(self, slot: Slot) -> WaitReason | None:
         """What forbids this turn to begin by itself, whoever else waits."""
         limits, machine = self._limits, self._machines.get((slot.kind, slot.machine))
         if machine is None:
-            return Wait.UNKNOWN
-        if not machine.ready:
-            return Wait.AWAY
+            return WaitReason.UNKNOWN
+        if not machine.is_ready:
+            return WaitReason.AWAY
         if self._out >= limits.out:
-            return Wait.ALL
+            return WaitReason.ALL
         if self._zones[slot.zone] >= limits.out_zone:
-            return Wait.ZONE
+            return WaitReason.ZONE
         if slot.cell and self._cells[slot.cell] >= limits.out_cell:
-            return Wait.CELL
+            return WaitReason.CELL
         if self._trouble:
-            return Wait.TROUBLE
+            return WaitReason.ZONE_OUTAGE
         remains = self._remains[slot.kind] - machine.capacity
         # What is out now has to fit as well, however low the floor is set.
         if remains < max(limits.floor * self._whole[slot.kind], self._load):
-            return Wait.FLOOR
+            return WaitReason.FLOOR
         return None
 
 
-def queue(slots: Slots) -> list[Held]:
+def queue(slots: Slots) -> list[StoredSlot]:
     """Those that wait, in the order in which they are looked at."""
-    last = slots.gate.last_zone
+    last = slots.ledger.last_zone
 
-    def place(held: Held) -> tuple[bool, bool, int, str]:
+    def place(held: StoredSlot) -> tuple[bool, bool, int, str]:
         slot = held.slot
         return not slot.urgent, bool(last) and slot.zone == last, slot.number, slot.id
 
     return sorted((held for held in slots.slots if held.slot.phase is Phase.WAITING), key=place)
 
 
-def waits(slots: Slots, fleet: Fleet) -> list[tuple[Held, Wait | None]]:
+def wait_reasons(slots: Slots, fleet: Fleet) -> list[tuple[StoredSlot, WaitReason | None]]:
     """The queue, and what each waits for; None: this one is next, and there is one such at most."""
-    found: list[tuple[Held, Wait | None]] = []
+    found: list[tuple[StoredSlot, WaitReason | None]] = []
     every, room = _everything(slots, fleet), _Room(slots, fleet)
     held_up: set[str] = set()
     urgent_waits = granted = False
@@ -143,21 +143,21 @@
         if reason is None and (
             granted or held.slot.zone in held_up or (urgent_waits and not held.slot.urgent)
         ):
-            reason = Wait.BEHIND
+            reason = WaitReason.BEHIND
         if reason is None:
             granted = True
-        elif reason not in (Wait.UNKNOWN, Wait.AWAY):
+        elif reason not in (WaitReason.UNKNOWN, WaitReason.AWAY):
             held_up.add(held.slot.zone)
             urgent_waits |= held.slot.urgent
         found.append((held, reason))
     return found
 
 
-def _everything(slots: Slots, fleet: Fleet) -> Wait | None:
+def _everything(slots: Slots, fleet: Fleet) -> WaitReason | None:
     """What forbids every turn to begin."""
-    checks: Sequence[tuple[Callable[[], bool], Wait]] = (
-        (lambda: not fleet.is_fresh, Wait.STALE),
-        (lambda: bool(slots.unreadable), Wait.UNREADABLE),
-        (lambda: fleet.halted, Wait.HALTED),
+    checks: Sequence[tuple[Callable[[], bool], WaitReason]] = (
+        (lambda: not fleet.is_fresh, WaitReason.STALE),
+        (lambda: bool(slots.unreadable), WaitReason.UNREADABLE),
+        (lambda: fleet.has_recent_halt, WaitReason.HALTED),
     )
     return next((wait for holds, wait in checks if holds()), None)
--- a/pearloom/maintenance/outages.py
+++ b/pearloom/maintenance/outages.py
@@ -16,13 +16,13 @@
 SHARE_AWAY = 0.25  # of the zone's machines
 
 
-def zones_in_trouble(machines: Iterable[Machine], slots: Slots) -> frozenset[str]:
+def zones_with_outage(machines: Iterable[Machine], slots: Slots) -> frozenset[str]:
     """The zones of which so many machines are away without a turn of their own; `""` stands for no zone."""
     on_turn = {(held.slot.kind, held.slot.machine) for held in slots.slots if held.slot.is_out}
     whole, away = Counter[str](), Counter[str]()
     for machine in machines:
         whole[machine.zone] += 1
-        away[machine.zone] += not machine.ready and (machine.kind, machine.name) not in on_turn
+        away[machine.zone] += not machine.is_ready and (machine.kind, machine.name) not in on_turn
     return frozenset(
         zone for zone, count in away.items() if zone and count >= max(LEAST_AWAY, SHARE_AWAY * whole[zone])
     )
--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -15,9 +15,9 @@
 from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
 from pearloom.coordination.values import decode_record
 
-TURNS, GATE, LIMITS_KEY = "turns/", "turns-gate", "turns-limits"
+SLOTS_PREFIX, LEDGER_KEY, LIMITS_KEY = "turns/", "turns-gate", "turns-limits"
 FORMAT = 1
-MOST_SLOTS = 512  # that the queue holds: a request beyond is refused
+MAX_SLOTS = 512  # that the queue holds: a request beyond is refused
 MOST_NAME = 64
 
 
@@ -66,7 +66,7 @@
     @property
     def key(self) -> str:
         """Its key in the store."""
-        return TURNS + self.id
+        return SLOTS_PREFIX + self.id
 
     @property
     def is_out(self) -> bool:
@@ -74,7 +74,7 @@
         return self.phase in COUNTS_AS_OUT
 
 
-class Gate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SlotLedger(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What every step writes that changes how many are out: counts, and the turn and zone of the last.
 
     `last_turn` tells it from another one of the same counts: a store that lost its last writes gives their
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StoredSlot:
     """A turn as it is in the store, and the revision and value that the next step compares with."""
 
     slot: Slot
@@ -120,26 +120,26 @@
 class Slots:
     """All that the store holds of turns."""
 
-    slots: tuple[Held, ...] = ()
-    gate: Gate = field(default_factory=Gate)
-    gate_mod: int = 0
+    slots: tuple[StoredSlot, ...] = ()
+    ledger: SlotLedger = field(default_factory=SlotLedger)
+    ledger_revision: int = 0
     limits: Limits = field(default_factory=Limits)
-    limits_mod: int = 0
-    gate_value: bytes | None = None
+    limits_revision: int = 0
+    ledger_value: bytes | None = None
     limits_value: bytes | None = None
     unreadable: tuple[str, ...] = ()  # keys whose value is spoilt or of a newer format
 
     @property
-    def gate_compare(self) -> Compare:
+    def ledger_compare(self) -> Compare:
         """Nothing has been granted, asked for or freed since this was read."""
-        return Compare(GATE, self.gate_mod, self.gate_value)
+        return Compare(LEDGER_KEY, self.ledger_revision, self.ledger_value)
 
     @property
     def limits_compare(self) -> Compare:
         """The limits are those that were read."""
-        return Compare(LIMITS_KEY, self.limits_mod, self.limits_value)
+        return Compare(LIMITS_KEY, self.limits_revision, self.limits_value)
 
-    def find(self, slot: str) -> Held | None:
+    def find(self, slot: str) -> StoredSlot | None:
         """The turn of this id."""
         return next((held for held in self.slots if held.slot.id == slot), None)
 
@@ -147,19 +147,19 @@
 def read_slots(snapshot: Snapshot) -> Slots:
     """Read all; what can't be read is named, and no turn is granted while there is any of it."""
     slots, unreadable = [], []
-    for entry in snapshot.with_prefix(TURNS):
+    for entry in snapshot.with_prefix(SLOTS_PREFIX):
         slot = decode_record(entry.value, Slot, FORMAT)
         if slot is None or slot.key != entry.key:
             unreadable.append(entry.key)
         else:
-            slots.append(Held(slot, entry.mod_revision, entry.value))
-    gate_entry, limits_entry = snapshot.find(GATE), snapshot.find(LIMITS_KEY)
-    gate = decode_record(gate_entry.value, Gate, FORMAT) if gate_entry else Gate()
+            slots.append(StoredSlot(slot, entry.mod_revision, entry.value))
+    gate_entry, limits_entry = snapshot.find(LEDGER_KEY), snapshot.find(LIMITS_KEY)
+    gate = decode_record(gate_entry.value, SlotLedger, FORMAT) if gate_entry else SlotLedger()
     limits = decode_record(limits_entry.value, Limits, FORMAT) if limits_entry else Limits()
-    unreadable += [key for key, found in ((GATE, gate), (LIMITS_KEY, limits)) if found is None]
+    unreadable += [key for key, found in ((LEDGER_KEY, gate), (LIMITS_KEY, limits)) if found is None]
     return Slots(
         tuple(slots),
-        gate or Gate(),
+        gate or SlotLedger(),
         gate_entry.mod_revision if gate_entry else 0,
         limits or Limits(out=0),
         limits_entry.mod_revision if limits_entry else 0,
@@ -169,12 +169,12 @@
     )
 
 
-def encode(value: Slot | Gate | Limits) -> bytes:
+def encode(value: Slot | SlotLedger | Limits) -> bytes:
     """As it is put into the store."""
     return msgspec.json.encode(value)
 
 
-def moved(held: Held, **changes: object) -> tuple[Compare, Write]:
+def slot_change(held: StoredSlot, **changes: object) -> tuple[Compare, Write]:
     """The parts of a step that change one turn."""
     slot = msgspec.structs.replace(held.slot, **changes)
     return held.compare, Write(held.slot.key, encode(slot))
@@ -189,17 +189,17 @@
             f"{there.unreadable[0]} in the store can't be read: nothing is begun until it can"
         )
     open_slots = [held.slot for held in there.slots if held.slot.phase is not Phase.DONE]
-    if len(open_slots) + len(asked) > MOST_SLOTS:
-        raise MaintenanceError(f"the queue holds {len(open_slots)} of {MOST_SLOTS} turns: it is full")
+    if len(open_slots) + len(asked) > MAX_SLOTS:
+        raise MaintenanceError(f"the queue holds {len(open_slots)} of {MAX_SLOTS} turns: it is full")
     names = [(slot.kind, slot.machine) for slot in asked]
     if len(set(names)) < len(names):
         raise MaintenanceError("a machine is named twice")
     for slot in open_slots:
         if (slot.kind, slot.machine) in names:
             raise MaintenanceError(f"{slot.machine} has turn {slot.id} already, which is {slot.phase.value}")
-    gate = msgspec.structs.replace(there.gate, requests=there.gate.requests + len(asked))
-    compares, writes = [there.gate_compare], [Write(GATE, encode(gate))]
-    for number, slot in enumerate(asked, there.gate.requests + 1):
+    gate = msgspec.structs.replace(there.ledger, requests=there.ledger.requests + len(asked))
+    compares, writes = [there.ledger_compare], [Write(LEDGER_KEY, encode(gate))]
+    for number, slot in enumerate(asked, there.ledger.requests + 1):
         if not 0 < len(slot.machine) <= MOST_NAME:
             raise MaintenanceError(f"a machine's name has 1 to {MOST_NAME} signs")
         compares.append(Compare(slot.key, 0))
@@ -207,8 +207,8 @@
     return Transaction(tuple(compares), tuple(writes))
 
 
-def adopt(there: Slots, own: Limits) -> Transaction | None:
+def adopt_limits(there: Slots, own: Limits) -> Transaction | None:
     """Put the own file's limits into the store, if they are of a higher edition than what is there."""
-    if there.limits_mod and own.edition <= there.limits.edition or LIMITS_KEY in there.unreadable:
+    if there.limits_revision and own.edition <= there.limits.edition or LIMITS_KEY in there.unreadable:
         return None
     return Transaction((there.limits_compare,), (Write(LIMITS_KEY, encode(own)),))
--- a/pearloom/maintenance/steps.py
+++ b/pearloom/maintenance/steps.py
@@ -26,20 +26,20 @@
 import msgspec
 
 from pearloom.coordination.port import Transaction, Write
-from pearloom.maintenance.order import Fleet, Machine, waits
+from pearloom.maintenance.order import Fleet, Machine, wait_reasons
 from pearloom.maintenance.records import (
-    GATE,
-    Held,
+    LEDGER_KEY,
     MachineKind,
     MaintenanceError,
     Phase,
     Slots,
+    StoredSlot,
     encode,
-    moved,
+    slot_change,
 )
 
-DIED = "died on its "  # how the notes of those begin that did
-KEEP_MS = 60_000.0  # a turn that is done is shown for so long
+DIED_PREFIX = "died on its "  # how the notes of those begin that did
+DONE_RETENTION_MS = 60_000.0  # a turn that is done is shown for so long
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
     name: str
     incarnation: int
-    idle: bool = False  # drained: nothing is open or standing here
+    is_idle: bool = False  # drained: nothing is open or standing here
     may_act: bool = True  # its lease is certainly alive at this moment
 
 
@@ -75,94 +75,94 @@
     for held in slots.slots:
         since = now_ms - seen_ms.get((held.slot.id, held.mod_revision), now_ms)
         machine = machines.get((held.slot.kind, held.slot.machine))
-        if (step := _onward(held, machine, own, slots, since)) is not None:
+        if (step := _advance(held, machine, own, slots, since)) is not None:
             return step
-    for held, reason in waits(slots, fleet):
+    for held, reason in wait_reasons(slots, fleet):
         if reason is None:
             return _grant(held, slots, fleet)
     return None
 
 
-def _step(held: Held, to: Phase, why: str, **changes: object) -> Step:
-    compare, write = moved(held, phase=to, note=why, **changes)
+def _step(held: StoredSlot, to: Phase, why: str, **changes: object) -> Step:
+    compare, write = slot_change(held, phase=to, note=why, **changes)
     return Step(held.slot.id, held.slot.machine, to, why, Transaction((compare,), (write,)))
 
 
-def _free(held: Held, slots: Slots, to: Phase, why: str, **changes: object) -> Step:
+def _freeing_step(held: StoredSlot, slots: Slots, to: Phase, why: str, **changes: object) -> Step:
     """A step after which the machine counts as out no more: who counts on its room compares with the gate.
 
     Guards against a grant into room that a store has taken back by losing this very write."""
-    compare, write = moved(held, phase=to, note=why, **changes)
-    gate = msgspec.structs.replace(slots.gate, freed=slots.gate.freed + 1, last_slot=held.slot.id)
-    attempt = Transaction((compare, slots.gate_compare), (write, Write(GATE, encode(gate))))
+    compare, write = slot_change(held, phase=to, note=why, **changes)
+    gate = msgspec.structs.replace(slots.ledger, freed=slots.ledger.freed + 1, last_slot=held.slot.id)
+    attempt = Transaction((compare, slots.ledger_compare), (write, Write(LEDGER_KEY, encode(gate))))
     return Step(held.slot.id, held.slot.machine, to, why, attempt)
 
 
-def _grant(held: Held, slots: Slots, fleet: Fleet) -> Step:
+def _grant(held: StoredSlot, slots: Slots, fleet: Fleet) -> Step:
     machine = fleet.find(held.slot.kind, held.slot.machine)
     assert machine is not None, "a turn that may begin has its machine in the fleet"
     gate = msgspec.structs.replace(
-        slots.gate, grants=slots.gate.grants + 1, last_zone=held.slot.zone, last_slot=held.slot.id
+        slots.ledger, grants=slots.ledger.grants + 1, last_zone=held.slot.zone, last_slot=held.slot.id
     )
-    compare, write = moved(held, phase=Phase.GRANTED, note="next", grant=machine.incarnation)
+    compare, write = slot_change(held, phase=Phase.GRANTED, note="next", grant=machine.incarnation)
     # The gate is compared too: two that each see room for one more can't both take it. So are the limits.
     attempt = Transaction(
-        (compare, slots.gate_compare, slots.limits_compare),
-        (write, Write(GATE, encode(gate))),
+        (compare, slots.ledger_compare, slots.limits_compare),
+        (write, Write(LEDGER_KEY, encode(gate))),
     )
     return Step(held.slot.id, held.slot.machine, Phase.GRANTED, "next", attempt)
 
 
-def _onward(
-    held: Held, machine: Machine | None, own: LocalSoftswitch, slots: Slots, since_ms: float
+def _advance(
+    held: StoredSlot, machine: Machine | None, own: LocalSoftswitch, slots: Slots, since_ms: float
 ) -> Step | None:
     """The step of a turn that has begun, if there is one."""
     slot, limits = held.slot, slots.limits
-    away = machine is None or not machine.ready
-    reborn = _reborn(held, machine)
+    away = machine is None or not machine.is_ready
+    reborn = _has_restarted(held, machine)
     match slot.phase:
         case Phase.GRANTED:
             if away or reborn:
-                return _step(held, Phase.OUT, DIED + "turn")
-            if slot.kind is MachineKind.SERVER or _mine(held, own):
+                return _step(held, Phase.OUT, DIED_PREFIX + "turn")
+            if slot.kind is MachineKind.SERVER or _is_own(held, own):
                 return _step(held, Phase.DRAINING, "taken up")
             if since_ms > limits.take_up_ms:
-                return _free(held, slots, Phase.WAITING, "not taken up", grant=0)
+                return _freeing_step(held, slots, Phase.WAITING, "not taken up", grant=0)
         case Phase.DRAINING:
             if away or reborn:
-                return _step(held, Phase.OUT, DIED + "turn")
-            if _mine(held, own) and own.idle:
+                return _step(held, Phase.OUT, DIED_PREFIX + "turn")
+            if _is_own(held, own) and own.is_idle:
                 return _step(held, Phase.OUT, "drained")
             if since_ms > limits.drain_ms:
                 return _step(held, Phase.OUT, "drained for long enough")
         case Phase.OUT:
-            if not away and (reborn or slot.note.startswith(DIED)):
+            if not away and (reborn or slot.note.startswith(DIED_PREFIX)):
                 return _step(held, Phase.RETURNING, "ready again")
         case Phase.RETURNING:
             if away:
-                return _step(held, Phase.OUT, DIED + "return")
+                return _step(held, Phase.OUT, DIED_PREFIX + "return")
             if since_ms > limits.settle_ms:
-                return _free(held, slots, Phase.DONE, "settled")
-        case Phase.DONE if since_ms > KEEP_MS:
+                return _freeing_step(held, slots, Phase.DONE, "settled")
+        case Phase.DONE if since_ms > DONE_RETENTION_MS:
             gone = Transaction((held.compare,), (Write(slot.key, None),))
             return Step(slot.id, slot.machine, None, "forgotten", gone)
     return None
 
 
-def _mine(held: Held, own: LocalSoftswitch) -> bool:
+def _is_own(held: StoredSlot, own: LocalSoftswitch) -> bool:
     """Is it this softswitch's own turn, granted in this very life?"""
     slot = held.slot
     return slot.kind is MachineKind.SOFTSWITCH and slot.machine == own.name and slot.grant == own.incarnation
 
 
-def _reborn(held: Held, machine: Machine | None) -> bool:
+def _has_restarted(held: StoredSlot, machine: Machine | None) -> bool:
     """Is the machine in another life than the one to which the turn was granted?"""
     return machine is not None and machine.incarnation != held.slot.grant
 
 
 def cancel(slots: Slots, slot: str) -> Step:
     """The operator takes a request back: one that waits goes, one that has begun returns."""
-    held = _held(slots, slot)
+    held = _find_slot(slots, slot)
     match held.slot.phase:
         case Phase.WAITING | Phase.DONE:
             gone = Transaction((held.compare,), (Write(held.slot.key, None),))
@@ -175,13 +175,13 @@
 
 def mark_returned(slots: Slots, slot: str) -> Step:
     """The operator says that a machine that is out is back, where nothing else shows it."""
-    held = _held(slots, slot)
+    held = _find_slot(slots, slot)
     if held.slot.phase is not Phase.OUT:
         raise MaintenanceError(f"turn {slot} is {held.slot.phase.value}, not out")
     return _step(held, Phase.RETURNING, "back, as the operator says")
 
 
-def _held(slots: Slots, slot: str) -> Held:
+def _find_slot(slots: Slots, slot: str) -> StoredSlot:
     held = slots.find(slot)
     if held is None:
         raise MaintenanceError(f"there is no turn {slot[:16]}")
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -17,12 +17,12 @@
     FORMAT,
     MemberFacts,
     View,
-    doubled,
     heartbeat_interval_ms,
-    join,
-    leave,
-    look,
+    is_superseded,
     next_facts,
+    publish_facts,
+    remove_member,
+    update_view,
 )
 
 AGAIN_S = 0.2  # after a beat that was not written
@@ -65,7 +65,7 @@
 
     def _look(self, snapshot: Snapshot) -> None:
         before = self.view
-        self.view = look(snapshot, before, self._now_ms(), self._period_ms)
+        self.view = update_view(snapshot, before, self._now_ms(), self._period_ms)
         if self.view.revision == before.revision:
             return
         known = {member.name: member.condition for member in before.members}
@@ -77,7 +77,7 @@
                     condition=member.condition.value, incarnation=member.incarnation, zone=member.zone,
                 )  # fmt: skip
 
-    def look_again(self) -> None:
+    def refresh_view(self) -> None:
         """The view by the own clock: one that tells nothing has stalled, though the store says nothing."""
         if self._link.snapshot is not None:
             self._look(self._link.snapshot)
@@ -94,12 +94,12 @@
         snapshot = self._link.snapshot
         if snapshot is None or not self._link.may_act():
             return False
-        if doubled(snapshot, self.name, self.incarnation):
+        if is_superseded(snapshot, self.name, self.incarnation):
             self._counters.add("member_doubled")
             note(logging.ERROR, "member_doubled", member=self.name, incarnation=self.incarnation)
             return True
         self._facts = next_facts(self._facts, *self._load())
-        outcome = self._link.commit(join(snapshot, self.name, self._facts))
+        outcome = self._link.commit(publish_facts(snapshot, self.name, self._facts))
         if outcome is Outcome.LOST:
             # Guards against a picture of the own key that no change will ever mend: nobody else writes it.
             self._link.read_again()
@@ -112,10 +112,10 @@
         snapshot = self._link.snapshot
         if snapshot is not None and self._link.may_act():
             self._facts = next_facts(self._facts, {}, 0, leaving=True)
-            self._link.commit(join(snapshot, self.name, self._facts))
+            self._link.commit(publish_facts(snapshot, self.name, self._facts))
 
     def remove(self, name: str) -> Outcome:
         """An operator takes a softswitch that is away out of the roster: nobody misses it any more."""
         snapshot = self._link.snapshot
-        attempt = leave(snapshot, name) if snapshot is not None else None
+        attempt = remove_member(snapshot, name) if snapshot is not None else None
         return Outcome.LOST if attempt is None else self._link.commit(attempt)
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -19,8 +19,8 @@
 from pearloom.coordination.port import Compare, Entry, Snapshot, Transaction, Write
 from pearloom.coordination.values import decode_record
 
-MEMBERS, ROSTER = "members/", "roster/"
-MOST_GATES = 512  # that one member tells of
+MEMBERS_PREFIX, ROSTER_PREFIX = "members/", "roster/"
+MAX_REPORTED_GATES = 512  # that one member tells of
 FORMAT = 1  # of the values here; a higher one is of a newer pearloom and is not guessed at
 BEAT_EACH_MS = 10.0  # x the fleet: the least period, so that the store takes 100 beats a second of all
 BEATS_MISSED = 3.0  # x the period in which a member tells of itself: after so long it has stalled
@@ -65,7 +65,9 @@
     incarnation: int
     zone: str
     facts: MemberFacts | None
-    told_ms: float  # when its beat was seen to change last, by the own clock; for one away, when it went
+    last_change_ms: (
+        float  # when its beat was seen to change last, by the own clock; for one away, when it went
+    )
 
     @property
     def is_live(self) -> bool:
@@ -103,7 +105,7 @@
         facts is not None
         and facts.beat >= 0
         and facts.outstanding >= 0
-        and len(facts.limits) <= MOST_GATES
+        and len(facts.limits) <= MAX_REPORTED_GATES
         and all(0.0 <= limit < 1e9 for limit in facts.limits.values())
     )
     return facts if sound else None
@@ -114,10 +116,10 @@
     return decode_record(value, RosterEntry, FORMAT)
 
 
-def look(snapshot: Snapshot, before: View, now_ms: float, beat_ms: float) -> View:
+def update_view(snapshot: Snapshot, before: View, now_ms: float, beat_ms: float) -> View:
     """The view that follows from the store as it is and from when the own clock saw what change."""
-    told = {entry.key.removeprefix(MEMBERS): entry for entry in snapshot.with_prefix(MEMBERS)}
-    roster = {entry.key.removeprefix(ROSTER): entry for entry in snapshot.with_prefix(ROSTER)}
+    told = {entry.key.removeprefix(MEMBERS_PREFIX): entry for entry in snapshot.with_prefix(MEMBERS_PREFIX)}
+    roster = {entry.key.removeprefix(ROSTER_PREFIX): entry for entry in snapshot.with_prefix(ROSTER_PREFIX)}
     members = tuple(
         _member(name, told.get(name), roster.get(name), before.find(name), now_ms, beat_ms)
         for name in sorted({*told, *roster})
@@ -133,7 +135,7 @@
 ) -> Member:
     stays = decode_roster(roster.value) if roster is not None else None
     if told is None:
-        since = before.told_ms if before is not None and before.condition is Condition.AWAY else now_ms
+        since = before.last_change_ms if before is not None and before.condition is Condition.AWAY else now_ms
         incarnation = stays.incarnation if stays else before.incarnation if before else 0
         zone = stays.zone if stays else before.zone if before else ""
         return Member(name, Condition.AWAY, incarnation, zone, None, since)
@@ -143,7 +145,7 @@
     same = before is not None and before.facts is not None and before.incarnation == facts.incarnation
     beat = before.facts.beat if before is not None and before.facts is not None else -1
     # A beat that goes back within one incarnation was read late: it is no sign of life.
-    since = before.told_ms if before is not None and same and facts.beat <= beat else now_ms
+    since = before.last_change_ms if before is not None and same and facts.beat <= beat else now_ms
     condition = Condition.LIVE
     if facts.leaving:
         condition = Condition.LEAVING
@@ -152,23 +154,27 @@
     return Member(name, condition, facts.incarnation, facts.zone, facts, since)
 
 
-def join(snapshot: Snapshot, name: str, facts: MemberFacts) -> Transaction:
+def publish_facts(snapshot: Snapshot, name: str, facts: MemberFacts) -> Transaction:
     """Tell of oneself, at first and again: what was there of a former incarnation is written over.
 
     The compare is on what was read, so that of two processes under one name the later one sees the other."""
-    member, roster = snapshot.find(MEMBERS + name), snapshot.find(ROSTER + name)
+    member, roster = snapshot.find(MEMBERS_PREFIX + name), snapshot.find(ROSTER_PREFIX + name)
     stays = msgspec.json.encode(RosterEntry(FORMAT, facts.incarnation, facts.zone))
-    writes = [Write(MEMBERS + name, msgspec.json.encode(facts), lease=True)]
-    compares = [Compare(MEMBERS + name, member.mod_revision if member else 0)]
+    writes = [Write(MEMBERS_PREFIX + name, msgspec.json.encode(facts), lease=True)]
+    compares = [Compare(MEMBERS_PREFIX + name, member.mod_revision if member else 0)]
     if roster is None or roster.value != stays:
-        compares.append(Compare(ROSTER + name, roster.mod_revision if roster else 0))
-        writes.append(Write(ROSTER + name, stays))
+        compares.append(Compare(ROSTER_PREFIX + name, roster.mod_revision if roster else 0))
+        writes.append(Write(ROSTER_PREFIX + name, stays))
     return Transaction(tuple(compares), tuple(writes))
 
 
-def leave(snapshot: Snapshot, name: str) -> Transaction | None:
+def remove_member(snapshot: Snapshot, name: str) -> Transaction | None:
     """Leave for good: nobody misses it. None where nothing is there to be taken out."""
-    keys = [entry for key in (MEMBERS + name, ROSTER + name) if (entry := snapshot.find(key)) is not None]
+    keys = [
+        entry
+        for key in (MEMBERS_PREFIX + name, ROSTER_PREFIX + name)
+        if (entry := snapshot.find(key)) is not None
+    ]
     if not keys:
         return None
     return Transaction(
@@ -177,9 +183,9 @@
     )
 
 
-def doubled(snapshot: Snapshot, name: str, incarnation: int) -> bool:
+def is_superseded(snapshot: Snapshot, name: str, incarnation: int) -> bool:
     """Does another, younger incarnation tell of itself under this name?"""
-    entry = snapshot.find(MEMBERS + name)
+    entry = snapshot.find(MEMBERS_PREFIX + name)
     facts = decode_facts(entry.value) if entry is not None else None
     return facts is not None and facts.incarnation > incarnation
 
@@ -195,7 +201,7 @@
     facts: MemberFacts, limits: Mapping[str, float], outstanding: int, leaving: bool = False
 ) -> MemberFacts:
     """What to tell next; of the gates the widest ones, if there are more than one may tell of."""
-    told = sorted(limits, key=lambda server: -limits[server])[:MOST_GATES]
+    told = sorted(limits, key=lambda server: -limits[server])[:MAX_REPORTED_GATES]
     return MemberFacts(
         facts.format, facts.incarnation, facts.zone, facts.beat + 1, leaving,
         {server: round(limits[server], 2) for server in told}, outstanding,
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -12,8 +12,8 @@
 
 from pearloom.coordination import Compare, Entry, Link, Outcome, Snapshot, StoreSettings, Transaction, Write
 from pearloom.coordination.etcd import EtcdStore
-from pearloom.coordination.port import Changes, applied, took_effect
-from pearloom.coordination.timing import MOST_MS, Backoff, Freshness, Hold, LocalLease
+from pearloom.coordination.port import Changes, apply_changes, took_effect
+from pearloom.coordination.timing import MAX_PAUSE_MS, Backoff, Freshness, LeaseState, LocalLease
 from pearloom.core.counters import Counters
 from pearloom.fakes.etcd import Gateway
 
@@ -87,7 +87,7 @@
     link = pair.start().link
     pair.gateway.faults.paused = True
     until(lambda: not link.may_act())
-    assert pair.gateway.store.time_to_live(link.lease.number, pair.gateway._clock())[0] >= 0
+    assert pair.gateway.store.time_to_live(link.lease.lease_id, pair.gateway._clock())[0] >= 0
     assert link.commit(Transaction((), (Write("turn", b"x", lease=True),))) is Outcome.LOST, "not even tried"
     gevent.sleep(0.5)  # the lease ends at the store
     pair.gateway.faults.paused = False
@@ -98,11 +98,11 @@
 def test_a_lease_whose_renewals_are_never_answered_is_left_to_end(pair: Pair) -> None:
     """As behind a link that is cut one way: each renewal reaches the store, and no answer comes back."""
     link = pair.start().link
-    first = link.lease.number
+    first = link.lease.lease_id
     pair.gateway.faults.reply_delay_ms = 1_000.0
     until(lambda: first not in pair.gateway.store._leases, 4.5)
     pair.gateway.faults.reply_delay_ms = 0.0
-    until(lambda: link.may_act() and link.lease.number != first)
+    until(lambda: link.may_act() and link.lease.lease_id != first)
 
 
 def test_an_older_store_is_named_and_read_anew(pair: Pair) -> None:
@@ -116,7 +116,7 @@
 
 
 def test_a_lease_is_given_back_at_the_end(pair: Pair) -> None:
-    number = pair.start().link.lease.number
+    number = pair.start().link.lease.lease_id
     pair.link.close()
     assert pair.gateway.store.time_to_live(number, pair.gateway._clock())[0] == -1
 
@@ -124,31 +124,31 @@
 # --- the decisions alone ------------------------------------------------------------------------------------
 def test_a_lease_counts_from_the_asking_and_is_unsure_before_its_end() -> None:
     lease = LocalLease(10_000.0)
-    assert lease.hold(0.0) is Hold.NONE
+    assert lease.state(0.0) is LeaseState.NONE
     lease.granted(7, asked_ms=1_000.0)
-    assert lease.hold(10_499.0) is Hold.HELD
-    assert lease.hold(10_500.0) is Hold.UNSURE
+    assert lease.state(10_499.0) is LeaseState.HELD
+    assert lease.state(10_500.0) is LeaseState.UNCERTAIN
     lease.granted(7, asked_ms=500.0)  # an older answer that came later shortens nothing
-    assert lease.hold(10_499.0) is Hold.HELD
+    assert lease.state(10_499.0) is LeaseState.HELD
     lease.ended()
-    assert lease.hold(0.0) is Hold.NONE
+    assert lease.state(0.0) is LeaseState.NONE
 
 
 @given(st.integers(0, 2**32), st.integers(1, 60))
 def test_pauses_are_spread_bounded_and_forgotten(seed: int, count: int) -> None:
     backoff = Backoff(Random(seed))
-    pauses = [backoff.failed() for _ in range(count)]
-    assert all(10.0 <= pause <= MOST_MS for pause in pauses)
-    backoff.succeeded()
-    assert backoff.failed() <= 100.0
+    pauses = [backoff.record_failure() for _ in range(count)]
+    assert all(10.0 <= pause <= MAX_PAUSE_MS for pause in pauses)
+    backoff.reset()
+    assert backoff.record_failure() <= 100.0
 
 
 def test_what_was_read_long_ago_is_not_fresh() -> None:
     fresh = Freshness(3_000.0)
-    assert not fresh.fresh(0.0)
-    fresh.read(1_000.0)
-    fresh.read(500.0)
-    assert fresh.fresh(4_000.0) and not fresh.fresh(4_001.0)
+    assert not fresh.is_fresh(0.0)
+    fresh.record_read(1_000.0)
+    fresh.record_read(500.0)
+    assert fresh.is_fresh(4_000.0) and not fresh.is_fresh(4_001.0)
 
 
 def _snapshot(revision: int, *entries: Entry, cluster: int = 1) -> Snapshot:
@@ -172,8 +172,8 @@
 
 def test_changes_that_do_not_follow_are_not_applied() -> None:
     there = _snapshot(10, Entry("a", b"1", 3, 3))
-    assert applied(there, Changes(1, 9)) is None
-    assert applied(there, Changes(2, 11)) is None
-    found = applied(there, Changes(1, 12, (Entry("b", b"2", 12, 12),), (("a", 11),)))
+    assert apply_changes(there, Changes(1, 9)) is None
+    assert apply_changes(there, Changes(2, 11)) is None
+    found = apply_changes(there, Changes(1, 12, (Entry("b", b"2", 12, 12),), (("a", 11),)))
     assert found == _snapshot(12, Entry("b", b"2", 12, 12))
-    assert applied(there, Changes(1, 12, (Entry("a", b"0", 1, 1),))) == _snapshot(12, *there.entries)
+    assert apply_changes(there, Changes(1, 12, (Entry("a", b"0", 1, 1),))) == _snapshot(12, *there.entries)
--- a/tests/coordination/test_store.py
+++ b/tests/coordination/test_store.py
@@ -56,12 +56,12 @@
 
 def test_a_compare_that_does_not_hold_changes_nothing(gateway: Gateway) -> None:
     store = port_on(gateway)
-    assert store.attempt(put("head", b"1"), 0)
+    assert store.commit(put("head", b"1"), 0)
     first = store.read()
-    assert not store.attempt(put("head", b"2"), 0), "the key is there by now"
+    assert not store.commit(put("head", b"2"), 0), "the key is there by now"
     assert store.read() == first
     entry = first.find("head")
-    assert entry is not None and store.attempt(put("head", b"2", entry.mod_revision), 0)
+    assert entry is not None and store.commit(put("head", b"2", entry.mod_revision), 0)
 
 
 def test_a_lease_takes_its_keys_along_and_says_so_to_watches(gateway: Gateway) -> None:
@@ -73,13 +73,13 @@
         return True
 
     watching = gevent.spawn(store.watch, store.read().revision, heard)
-    assert store.attempt(put("members/a", b"here", lease=True), lease)
+    assert store.commit(put("members/a", b"here", lease=True), lease)
     store.revoke(lease)
     while sum(len(told.deleted) for told in seen) < 1:
         gevent.sleep(0.01)
     watching.kill()
     assert [entry.key for told in seen for entry in told.put] == ["members/a"]
-    assert not store.keep(lease) and store.read().entries == ()
+    assert not store.keep_alive(lease) and store.read().entries == ()
 
 
 def test_a_watch_whose_revision_is_compacted_away_ends_with_an_error(gateway: Gateway) -> None:
@@ -109,15 +109,15 @@
     store = port_on(gateway)
     gateway.faults.lose_replies = 1
     with pytest.raises(StoreError):
-        store.attempt(put("head", b"1"), 0)
+        store.commit(put("head", b"1"), 0)
     assert [entry.value for entry in store.read().entries] == [b"1"]
 
 
 def test_a_store_that_comes_back_without_its_last_writes_is_older(gateway: Gateway) -> None:
     store = port_on(gateway)
-    store.attempt(put("head", b"1"), 0)
+    store.commit(put("head", b"1"), 0)
     gateway.store.save()
-    store.attempt(put("later", b"2"), 0)
+    store.commit(put("later", b"2"), 0)
     before = store.read()
     gateway.restart(without_last_writes=True)
     after = store.read()
--- a/tests/maintenance/test_capacity.py
+++ b/tests/maintenance/test_capacity.py
@@ -6,11 +6,11 @@
 import pytest
 
 from pearloom.maintenance import records
-from pearloom.maintenance.capacity import load, weighed
-from pearloom.maintenance.order import Fleet, Machine, Wait, waits
-from pearloom.maintenance.records import Gate, Held, Limits, MachineKind, Slot, Slots
+from pearloom.maintenance.capacity import outstanding_set_ups, with_capacities
+from pearloom.maintenance.order import Fleet, Machine, WaitReason, wait_reasons
+from pearloom.maintenance.records import Limits, MachineKind, Slot, SlotLedger, Slots, StoredSlot
 from pearloom.membership import Condition, Member, MemberFacts
-from pearloom.membership.view import MOST_GATES, decode_facts, next_facts
+from pearloom.membership.view import MAX_REPORTED_GATES, decode_facts, next_facts
 
 SERVERS = [Machine(MachineKind.SERVER, f"s-{at}", "a") for at in (1, 2, 3)]
 
@@ -21,7 +21,7 @@
 
 
 def capacities(machines: list[Machine], members: list[Member]) -> list[float]:
-    return [one.capacity for one in weighed(machines, members)]
+    return [one.capacity for one in with_capacities(machines, members)]
 
 
 def test_a_server_can_carry_what_all_gates_to_it_allow() -> None:
@@ -35,36 +35,43 @@
     assert capacities(SERVERS, [member("n1", {"s-1": 4.0, "s-2": 2.0})]) == [4.0, 2.0, 3.0]
     assert capacities(SERVERS, []) == capacities(SERVERS, [member("n1", {})]) == [1.0, 1.0, 1.0]
     silent = Member("n9", Condition.AWAY, 1, "a", None, 0.0)
-    assert load([silent, member("n1", {}, 3), member("n2", {}, 4)]) == 7.0
+    assert outstanding_set_ups([silent, member("n1", {}, 3), member("n2", {}, 4)]) == 7.0
 
 
 @pytest.mark.parametrize(
     ("limits", "out", "floor", "wait"),
     [
         ({"s-1": 4.0, "s-2": 4.0, "s-3": 4.0}, 0, 0.6, None),
-        ({"s-1": 8.0, "s-2": 2.0, "s-3": 2.0}, 0, 0.6, Wait.FLOOR),  # the one that carries most
-        ({"s-1": 4.0, "s-2": 4.0, "s-3": 0.0}, 0, 0.6, Wait.FLOOR),  # one is shut already, whatever the cause
-        ({"s-1": 4.0, "s-2": 4.0, "s-3": 4.0}, 9, 0.0, Wait.FLOOR),  # what is out would not fit
+        ({"s-1": 8.0, "s-2": 2.0, "s-3": 2.0}, 0, 0.6, WaitReason.FLOOR),  # the one that carries most
+        (
+            {"s-1": 4.0, "s-2": 4.0, "s-3": 0.0},
+            0,
+            0.6,
+            WaitReason.FLOOR,
+        ),  # one is shut already, whatever the cause
+        ({"s-1": 4.0, "s-2": 4.0, "s-3": 4.0}, 9, 0.0, WaitReason.FLOOR),  # what is out would not fit
         ({"s-1": 4.0, "s-2": 4.0, "s-3": 4.0}, 8, 0.0, None),
     ],
 )
 def test_the_floor_is_of_what_the_gates_allow_and_of_what_is_out(
-    limits: dict[str, float], out: int, floor: float, wait: Wait | None
+    limits: dict[str, float], out: int, floor: float, wait: WaitReason | None
 ) -> None:
     members = [member("n1", limits, out)]
     slot = Slot(1, "t", MachineKind.SERVER, "s-1", "a", "", False, "n1", "", 1)
     slots = Slots(
-        (Held(slot, 5, records.encode(slot)),),
-        gate=Gate(1, 1),
+        (StoredSlot(slot, 5, records.encode(slot)),),
+        ledger=SlotLedger(1, 1),
         limits=Limits(out=3, out_zone=3, out_cell=3, floor=floor),
     )
-    fleet = Fleet(weighed(SERVERS, members), load=load(members))
-    assert [why for _, why in waits(slots, fleet)] == [wait]
+    fleet = Fleet(with_capacities(SERVERS, members), load=outstanding_set_ups(members))
+    assert [why for _, why in wait_reasons(slots, fleet)] == [wait]
 
 
 def test_what_a_member_tells_of_its_gates_is_bounded_and_checked() -> None:
-    facts = next_facts(MemberFacts(1, 1, "a", 1), {f"s-{at}": at / 3.0 for at in range(2 * MOST_GATES)}, 4)
-    assert len(facts.limits) == MOST_GATES and f"s-{2 * MOST_GATES - 1}" in facts.limits
+    facts = next_facts(
+        MemberFacts(1, 1, "a", 1), {f"s-{at}": at / 3.0 for at in range(2 * MAX_REPORTED_GATES)}, 4
+    )
+    assert len(facts.limits) == MAX_REPORTED_GATES and f"s-{2 * MAX_REPORTED_GATES - 1}" in facts.limits
     assert decode_facts(msgspec.json.encode(facts)) == facts
     for bad in (b'{"s-1":-1.0}', b'{"s-1":1e300}', b'{"s-1":"x"}'):
         value = msgspec.json.encode(MemberFacts(1, 1, "a", 1)).replace(b"{}", bad)
--- a/tests/maintenance/test_model.py
+++ b/tests/maintenance/test_model.py
@@ -72,7 +72,7 @@
     """As both see it: leases end at the store, so what one sees of the other is what the store says."""
     return Fleet(
         tuple(
-            Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", ready=node.alive, incarnation=node.life)
+            Machine(MachineKind.SOFTSWITCH, name, f"zone-{name}", is_ready=node.alive, incarnation=node.life)
             for name, node in zip(NAMES, world.nodes, strict=True)
         )
     )
@@ -186,29 +186,29 @@
     real_grant: Callable[..., steps.Step] = steps._grant
     if seeded == "gate":  # a grant no longer compares with the gate
 
-        def grant(held: records.Held, slots: records.Slots, fleet: Fleet) -> steps.Step:
+        def grant(held: records.StoredSlot, slots: records.Slots, fleet: Fleet) -> steps.Step:
             step = real_grant(held, slots, fleet)
             mine = tuple(one for one in step.transaction.compares if one.key == held.slot.key)
             return replace(step, transaction=Transaction(mine, step.transaction.writes))
 
         monkeypatch.setattr(steps, "_grant", grant)
     elif seeded == "out":  # machines out on their turn are not counted
-        monkeypatch.setattr(order, "out", lambda slots, fleet: [])
+        monkeypatch.setattr(order, "machines_out", lambda slots, fleet: [])
     elif seeded == "freed":  # room that became free is told by no write of the gate
 
         def free(
-            held: records.Held, slots: records.Slots, to: Phase, why: str, **changes: object
+            held: records.StoredSlot, slots: records.Slots, to: Phase, why: str, **changes: object
         ) -> steps.Step:
             return steps._step(held, to, why, **changes)
 
-        monkeypatch.setattr(steps, "_free", free)
+        monkeypatch.setattr(steps, "_freeing_step", free)
     else:  # a step no longer compares with the turn's revision
 
-        def moved(held: records.Held, **changes: object) -> tuple[object, object]:
-            compare, write = records.moved(held, **changes)
+        def moved(held: records.StoredSlot, **changes: object) -> tuple[object, object]:
+            compare, write = records.slot_change(held, **changes)
             return replace(compare, key="nothing", mod_revision=0, value=None), write
 
-        monkeypatch.setattr(steps, "moved", moved)
+        monkeypatch.setattr(steps, "slot_change", moved)
 
 
 @pytest.mark.parametrize("seeded", ["gate", "out", "revision", "freed"])
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -9,19 +9,19 @@
 from pearloom.coordination import timing
 from pearloom.coordination.port import Entry, Snapshot
 from pearloom.maintenance import records, steps
-from pearloom.maintenance.order import Fleet, Machine, Wait, queue, waits
+from pearloom.maintenance.order import Fleet, Machine, WaitReason, queue, wait_reasons
 from pearloom.maintenance.records import (
     FORMAT,
-    Gate,
-    Held,
     Limits,
     MachineKind,
     MaintenanceError,
     Phase,
     Slot,
+    SlotLedger,
     Slots,
+    StoredSlot,
 )
-from pearloom.maintenance.steps import KEEP_MS, LocalSoftswitch, Step
+from pearloom.maintenance.steps import DONE_RETENTION_MS, LocalSoftswitch, Step
 
 WIDE = Limits(out=9, out_zone=9, out_cell=9, floor=0.0, take_up_ms=1_000, drain_ms=2_000, settle_ms=3_000)
 
@@ -36,10 +36,10 @@
     cell: str = "",
     grant: int = 0,
     note: str = "",
-) -> Held:
+) -> StoredSlot:
     name = machine or f"n{number}"
     found = Slot(FORMAT, f"t{number}", kind, name, zone, cell, urgent, "n1", "", number, phase, grant, note)
-    return Held(found, 10 + number, records.encode(found))
+    return StoredSlot(found, 10 + number, records.encode(found))
 
 
 def machine(name: str, zone: str = "a", ready: bool = True, life: int = 1, cell: str = "") -> Machine:
@@ -47,8 +47,8 @@
     return Machine(kind, name, zone, cell, ready, incarnation=life)
 
 
-def slots(*held: Held, limits: Limits = WIDE, last_zone: str = "") -> Slots:
-    return Slots(held, Gate(last_zone=last_zone), 5, limits, 6)
+def slots(*held: StoredSlot, limits: Limits = WIDE, last_zone: str = "") -> Slots:
+    return Slots(held, SlotLedger(last_zone=last_zone), 5, limits, 6)
 
 
 FLEET = Fleet(tuple(machine(f"n{at}", "a" if at < 4 else "b") for at in range(1, 7)))
@@ -82,27 +82,35 @@
 @pytest.mark.parametrize(
     ("there", "fleet", "reasons"),
     [
-        (slots(slot(1), slot(2)), FLEET, [None, Wait.BEHIND]),  # one at a time, whatever the limits
-        (slots(slot(1), limits=ALL), GONE, [Wait.ALL]),  # out for whatever reason
-        (slots(slot(1), slot(2, phase=Phase.RETURNING), limits=ALL), FLEET, [Wait.ALL]),
+        (slots(slot(1), slot(2)), FLEET, [None, WaitReason.BEHIND]),  # one at a time, whatever the limits
+        (slots(slot(1), limits=ALL), GONE, [WaitReason.ALL]),  # out for whatever reason
+        (slots(slot(1), slot(2, phase=Phase.RETURNING), limits=ALL), FLEET, [WaitReason.ALL]),
         (slots(slot(1), slot(2, phase=Phase.DONE), limits=ALL), FLEET, [None]),
-        (slots(slot(1), limits=ZONE), GONE, [Wait.ZONE]),
-        (slots(slot(1), slot(4, zone="b"), limits=ZONE), GONE, [Wait.ZONE, None]),  # other zones go on
-        (slots(slot(1, urgent=True), slot(4, zone="b"), limits=ZONE), GONE, [Wait.ZONE, Wait.BEHIND]),
-        (slots(slot(1, "s-1", kind=MachineKind.SERVER, cell="c1"), limits=CELL), CELLS, [Wait.CELL]),
+        (slots(slot(1), limits=ZONE), GONE, [WaitReason.ZONE]),
+        (slots(slot(1), slot(4, zone="b"), limits=ZONE), GONE, [WaitReason.ZONE, None]),  # other zones go on
+        (
+            slots(slot(1, urgent=True), slot(4, zone="b"), limits=ZONE),
+            GONE,
+            [WaitReason.ZONE, WaitReason.BEHIND],
+        ),
+        (slots(slot(1, "s-1", kind=MachineKind.SERVER, cell="c1"), limits=CELL), CELLS, [WaitReason.CELL]),
         (slots(slot(1, "s-3", kind=MachineKind.SERVER, cell="c2"), limits=CELL), CELLS, [None]),
-        (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.5)), GONE, [Wait.FLOOR]),
+        (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.5)), GONE, [WaitReason.FLOOR]),
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.33)), GONE, [None]),
-        (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"a"})), [Wait.TROUBLE]),
-        (slots(slot(1)), Fleet(FLEET.machines, trouble=frozenset({"b"})), [Wait.TROUBLE]),  # another one's
-        (slots(slot(1)), Fleet(FLEET.machines, halted=True), [Wait.HALTED]),
-        (slots(slot(1)), Fleet(FLEET.machines, is_fresh=False), [Wait.STALE]),
-        (slots(slot(9), slot(1)), FLEET, [None, Wait.UNKNOWN]),  # one that nobody knows holds up nobody
-        (slots(slot(2), slot(1, zone="b")), GONE, [None, Wait.AWAY]),
+        (slots(slot(1)), Fleet(FLEET.machines, zones_with_outage=frozenset({"a"})), [WaitReason.ZONE_OUTAGE]),
+        (
+            slots(slot(1)),
+            Fleet(FLEET.machines, zones_with_outage=frozenset({"b"})),
+            [WaitReason.ZONE_OUTAGE],
+        ),  # another one's
+        (slots(slot(1)), Fleet(FLEET.machines, has_recent_halt=True), [WaitReason.HALTED]),
+        (slots(slot(1)), Fleet(FLEET.machines, is_fresh=False), [WaitReason.STALE]),
+        (slots(slot(9), slot(1)), FLEET, [None, WaitReason.UNKNOWN]),  # one that nobody knows holds up nobody
+        (slots(slot(2), slot(1, zone="b")), GONE, [None, WaitReason.AWAY]),
     ],
 )
-def test_what_each_waits_for(there: Slots, fleet: Fleet, reasons: list[Wait | None]) -> None:
-    assert [reason for _, reason in waits(there, fleet)] == reasons
+def test_what_each_waits_for(there: Slots, fleet: Fleet, reasons: list[WaitReason | None]) -> None:
+    assert [reason for _, reason in wait_reasons(there, fleet)] == reasons
 
 
 def test_what_can_t_be_read_stops_every_grant() -> None:
@@ -112,11 +120,11 @@
         records.request_slots(there, [slot(1).slot])
     good = records.encode(slot(1).slot)
     there = records.read_slots(Snapshot(1, 9, (Entry("turns/t1", good, 1, 1), Entry("turns/x", b"", 2, 2))))
-    assert [reason for _, reason in waits(there, FLEET)] == [Wait.UNREADABLE]
+    assert [reason for _, reason in wait_reasons(there, FLEET)] == [WaitReason.UNREADABLE]
 
 
 def stepped(
-    held: Held,
+    held: StoredSlot,
     there: Machine | None,
     waited_ms: float = 0.0,
     own: LocalSoftswitch | None = None,
@@ -144,12 +152,12 @@
         (Phase.GRANTED, REBORN, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.GRANTED, None, 0, LocalSoftswitch("n9", 1), Phase.OUT),
         (Phase.DRAINING, LIVE, 0, ME, None),
-        (Phase.DRAINING, LIVE, 0, LocalSoftswitch("n1", 1, idle=True), Phase.OUT),
+        (Phase.DRAINING, LIVE, 0, LocalSoftswitch("n1", 1, is_idle=True), Phase.OUT),
         (
             Phase.DRAINING,
             LIVE,
             0,
-            LocalSoftswitch("n9", 1, idle=True),
+            LocalSoftswitch("n9", 1, is_idle=True),
             None,
         ),  # another one's idleness is not its own
         (Phase.DRAINING, LIVE, 2_001, LocalSoftswitch("n9", 1), Phase.OUT),
@@ -160,7 +168,7 @@
         (Phase.RETURNING, LIVE, 2_999, ME, None),
         (Phase.RETURNING, LIVE, 3_001, ME, Phase.DONE),
         (Phase.RETURNING, DEAD, 0, LocalSoftswitch("n9", 1), Phase.OUT),
-        (Phase.DONE, LIVE, KEEP_MS - 1, ME, None),
+        (Phase.DONE, LIVE, DONE_RETENTION_MS - 1, ME, None),
     ],
 )
 def test_the_life_of_a_turn(
@@ -182,7 +190,7 @@
 
 
 def test_a_turn_that_is_done_is_forgotten_after_a_while() -> None:
-    step = stepped(slot(1, phase=Phase.DONE, grant=1), LIVE, KEEP_MS + 1)
+    step = stepped(slot(1, phase=Phase.DONE, grant=1), LIVE, DONE_RETENTION_MS + 1)
     assert step is not None and step.to is None and step.transaction.writes[0].value is None
 
 
@@ -208,14 +216,14 @@
     with pytest.raises(MaintenanceError, match="twice"):
         records.request_slots(slots(), [slot(1, "n1").slot, slot(2, "n1").slot])
     with pytest.raises(MaintenanceError, match="full"):
-        records.request_slots(slots(*(slot(at) for at in range(records.MOST_SLOTS))), [slot(9999).slot])
+        records.request_slots(slots(*(slot(at) for at in range(records.MAX_SLOTS))), [slot(9999).slot])
 
 
 def test_limits_of_a_higher_edition_hold() -> None:
     there = slots(limits=Limits(edition=3))
-    assert records.adopt(there, Limits(edition=3)) is None
-    assert records.adopt(there, Limits(edition=4)) is not None
-    assert records.adopt(Slots(), Limits()) is not None
+    assert records.adopt_limits(there, Limits(edition=3)) is None
+    assert records.adopt_limits(there, Limits(edition=4)) is not None
+    assert records.adopt_limits(Slots(), Limits()) is not None
 
 
 @given(
@@ -232,6 +240,6 @@
 def test_softswitches_try_a_step_one_after_another(count: int, name: str) -> None:
     acting = [f"n{at}" for at in range(count)]
     waits_ms = sorted(timing.contention_delay_ms(name, one, acting) for one in acting)
-    assert waits_ms[0] == 0.0 and waits_ms[-1] <= timing.PATIENCE_MOST_MS
+    assert waits_ms[0] == 0.0 and waits_ms[-1] <= timing.MAX_CONTENTION_DELAY_MS
     assert len(set(waits_ms)) == min(count, 15), "in steps, up to the longest"
-    assert timing.contention_delay_ms(name, "stranger", acting) == timing.PATIENCE_MOST_MS
+    assert timing.contention_delay_ms(name, "stranger", acting) == timing.MAX_CONTENTION_DELAY_MS
--- a/tests/maintenance/test_outages.py
+++ b/tests/maintenance/test_outages.py
@@ -6,20 +6,20 @@
 
 from pearloom.maintenance import records
 from pearloom.maintenance.order import Machine
-from pearloom.maintenance.outages import zones_in_trouble
-from pearloom.maintenance.records import FORMAT, Held, MachineKind, Phase, Slot, Slots
+from pearloom.maintenance.outages import zones_with_outage
+from pearloom.maintenance.records import FORMAT, MachineKind, Phase, Slot, Slots, StoredSlot
 
 
 def zone(name: str, ready: int, away: int) -> list[Machine]:
     return [
-        Machine(MachineKind.SERVER, f"{name}{at}", name, ready=at >= away, incarnation=1)
+        Machine(MachineKind.SERVER, f"{name}{at}", name, is_ready=at >= away, incarnation=1)
         for at in range(ready + away)
     ]
 
 
-def on_turn(machine: str, phase: Phase) -> Held:
+def on_turn(machine: str, phase: Phase) -> StoredSlot:
     slot = Slot(FORMAT, machine, MachineKind.SERVER, machine, "a", "", False, "n1", "", 1, phase, 1)
-    return Held(slot, 5, records.encode(slot))
+    return StoredSlot(slot, 5, records.encode(slot))
 
 
 @pytest.mark.parametrize(
@@ -38,5 +38,5 @@
         (zone("", 2, 2), (), set()),  # where zones are not told
     ],
 )
-def test_zones_in_trouble(machines: list[Machine], slots: tuple[Held, ...], found: set[str]) -> None:
-    assert zones_in_trouble(machines, Slots(slots)) == found
+def test_zones_in_trouble(machines: list[Machine], slots: tuple[StoredSlot, ...], found: set[str]) -> None:
+    assert zones_with_outage(machines, Slots(slots)) == found
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -8,8 +8,17 @@
 from hypothesis import strategies as st
 
 from pearloom.coordination.port import Entry, Snapshot
-from pearloom.membership import MEMBERS, ROSTER, Condition, MemberFacts, View, join, leave, look
-from pearloom.membership.view import RosterEntry, doubled, heartbeat_interval_ms
+from pearloom.membership import (
+    MEMBERS_PREFIX,
+    ROSTER_PREFIX,
+    Condition,
+    MemberFacts,
+    View,
+    publish_facts,
+    remove_member,
+    update_view,
+)
+from pearloom.membership.view import RosterEntry, heartbeat_interval_ms, is_superseded
 
 BEAT_MS = 1_000.0
 
@@ -23,11 +32,11 @@
 
 
 def roster(incarnation: int = 1) -> tuple[str, bytes]:
-    return ROSTER + "n1", msgspec.json.encode(RosterEntry(1, incarnation, "a"))
+    return ROSTER_PREFIX + "n1", msgspec.json.encode(RosterEntry(1, incarnation, "a"))
 
 
 def told(value: bytes) -> Snapshot:
-    return snapshot((MEMBERS + "n1", value), roster())
+    return snapshot((MEMBERS_PREFIX + "n1", value), roster())
 
 
 def condition(view: View) -> Condition:
@@ -45,61 +54,61 @@
         (told(facts(form=2)), Condition.UNREADABLE),
         (told(b"spoilt"), Condition.UNREADABLE),
         (told(b'{"format":1,"incarnation":1,"zone":"a","beat":1,"colour":"red"}'), Condition.UNREADABLE),
-        (snapshot((MEMBERS + "n1", facts()), (ROSTER + "n1", b"?")), Condition.LIVE),
+        (snapshot((MEMBERS_PREFIX + "n1", facts()), (ROSTER_PREFIX + "n1", b"?")), Condition.LIVE),
     ],
 )
 def test_each_condition(there: Snapshot, wanted: Condition) -> None:
-    view = look(there, View(), 0.0, BEAT_MS)
+    view = update_view(there, View(), 0.0, BEAT_MS)
     assert condition(view) is wanted
     assert view.missing == (("n1",) if wanted in (Condition.AWAY, Condition.UNREADABLE) else ())
     assert [one.name for one in view.live_members] == (["n1"] if wanted is Condition.LIVE else [])
 
 
 def test_one_that_tells_nothing_has_stalled_until_it_tells_again() -> None:
-    view = look(told(facts(1)), View(), 0.0, BEAT_MS)
-    view = look(told(facts(1)), view, 3_000.0, BEAT_MS)
+    view = update_view(told(facts(1)), View(), 0.0, BEAT_MS)
+    view = update_view(told(facts(1)), view, 3_000.0, BEAT_MS)
     assert condition(view) is Condition.LIVE
-    view = look(told(facts(1)), view, 3_001.0, BEAT_MS)
+    view = update_view(told(facts(1)), view, 3_001.0, BEAT_MS)
     assert condition(view) is Condition.STALLED
-    older = look(told(facts(0)), view, 3_002.0, BEAT_MS)
+    older = update_view(told(facts(0)), view, 3_002.0, BEAT_MS)
     assert condition(older) is Condition.STALLED, "a beat that was read late is no sign of life"
-    assert condition(look(told(facts(2)), older, 3_003.0, BEAT_MS)) is Condition.LIVE
-    assert condition(look(told(facts(0, incarnation=2)), older, 9_000.0, BEAT_MS)) is Condition.LIVE
+    assert condition(update_view(told(facts(2)), older, 3_003.0, BEAT_MS)) is Condition.LIVE
+    assert condition(update_view(told(facts(0, incarnation=2)), older, 9_000.0, BEAT_MS)) is Condition.LIVE
 
 
 def test_the_view_s_number_grows_with_changes_alone() -> None:
-    view = look(told(facts(1)), View(), 0.0, BEAT_MS)
-    again = look(told(facts(2)), view, 10.0, BEAT_MS)
+    view = update_view(told(facts(1)), View(), 0.0, BEAT_MS)
+    again = update_view(told(facts(2)), view, 10.0, BEAT_MS)
     assert again.revision == view.revision == 1
-    assert look(told(facts(3, incarnation=2)), again, 20.0, BEAT_MS).revision == 2
+    assert update_view(told(facts(3, incarnation=2)), again, 20.0, BEAT_MS).revision == 2
 
 
 def test_joining_compares_with_what_was_read_and_leaving_takes_both_keys_out() -> None:
     mine = MemberFacts(1, 2, "a", 7)
-    first = join(snapshot(), "n1", mine)
+    first = publish_facts(snapshot(), "n1", mine)
     assert [(one.key, one.mod_revision) for one in first.compares] == [
-        (MEMBERS + "n1", 0),
-        (ROSTER + "n1", 0),
+        (MEMBERS_PREFIX + "n1", 0),
+        (ROSTER_PREFIX + "n1", 0),
     ]
-    again = join(snapshot((MEMBERS + "n1", facts()), roster(2)), "n1", mine)
+    again = publish_facts(snapshot((MEMBERS_PREFIX + "n1", facts()), roster(2)), "n1", mine)
     assert [(one.key, one.mod_revision) for one in again.compares] == [
-        (MEMBERS + "n1", 5)
+        (MEMBERS_PREFIX + "n1", 5)
     ], "the roster is as it was"
     assert again.writes[0].lease
-    gone = leave(told(facts()), "n1")
+    gone = remove_member(told(facts()), "n1")
     assert gone is not None and {write.value for write in gone.writes} == {None}
-    assert leave(snapshot(), "n1") is None
+    assert remove_member(snapshot(), "n1") is None
 
 
 def test_a_younger_process_of_the_same_name_is_seen() -> None:
-    assert doubled(told(facts(incarnation=3)), "n1", 2)
-    assert not doubled(told(facts(incarnation=2)), "n1", 2)
-    assert not doubled(told(b"?"), "n1", 2)
+    assert is_superseded(told(facts(incarnation=3)), "n1", 2)
+    assert not is_superseded(told(facts(incarnation=2)), "n1", 2)
+    assert not is_superseded(told(b"?"), "n1", 2)
 
 
 @given(st.binary(max_size=200))
 def test_no_value_breaks_the_view(value: bytes) -> None:
-    look(snapshot((MEMBERS + "n1", value), (ROSTER + "n1", value)), View(), 0.0, BEAT_MS)
+    update_view(snapshot((MEMBERS_PREFIX + "n1", value), (ROSTER_PREFIX + "n1", value)), View(), 0.0, BEAT_MS)
 
 
 def test_the_store_bears_the_same_number_of_beats_whatever_the_fleet() -> None:
