--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -21,14 +21,14 @@
 )
 
 FLEET_GUARDS = (
-    Guard("a lease counts from its asking, less drift", "coordination/timing.py", "asked_ms + self.ttl_ms * (1.0 - MAX_CLOCK_DRIFT)", "asked_ms + self.ttl_ms * 9.0", (LINK,)),
+    Guard("a lease counts from its asking, less drift", "coordination/timing.py", "requested_ms + self.ttl_ms * (1.0 - MAX_CLOCK_DRIFT)", "requested_ms + self.ttl_ms * 9.0", (LINK,)),
     Guard("pauses are drawn", "coordination/timing.py", "return pause * (0.1 + 0.9 * self._random.random())", "return pause * 2", (LINK,)),
     Guard("changes follow what was read", "coordination/port.py", "changes.cluster != snapshot.cluster or changes.revision < snapshot.revision", "False", (LINK,)),
     Guard("an older value is no win", "coordination/port.py", "entry.mod_revision > compared.get(write.key, 0)", "True", (LINK,)),
     Guard("nothing is tried on an ended lease", "coordination/link.py", "if not self.may_act() and any(", "if False and any(", (LINK,)),
-    Guard("an older store is named", "coordination/link.py", "if (found.cluster, found.revision) < (cluster, revision) or (", "if False and (", (LINK,)),
-    Guard("a lost reply is read back", "coordination/link.py", "return self._read_back(attempt)", "return Outcome.UNKNOWN", (LINK,)),
-    Guard("a lease that is never answered is left to end", "coordination/link.py", "held = self.lease.state(now) is LeaseState.HELD", "held = bool(self.lease.lease_id)", (LINK,)),
+    Guard("an older store is named", "coordination/link.py", "if (received.cluster, received.revision) < (cluster, revision) or (", "if False and (", (LINK,)),
+    Guard("a lost reply is read back", "coordination/link.py", "return self._read_back(transaction)", "return Outcome.UNKNOWN", (LINK,)),
+    Guard("a lease that is never answered is left to end", "coordination/link.py", "is_held = self.lease.state(now) is LeaseState.HELD", "is_held = bool(self.lease.lease_id)", (LINK,)),
     Guard("a step compares the head's value", "rules/head.py", "Compare(HEAD, there.mod, there.value)", "Compare(HEAD, there.mod)", (HEAD,)),
     Guard("an older head is not obeyed", "rules/head.py", "return head.number == seen.number and head.tag == seen.tag", "return True", (HEAD,)),
     Guard("one rollout at a time", "rules/head.py", "if rollout is not None and rollout.goes_on:\n        first", "if False:\n        first", (HEAD,)),
@@ -55,7 +55,7 @@
     Guard("the own cut is no lost store", "rollout/steps.py", "<= told + 1 for", "< 1e9 for", (STEPS,)),
     Guard("a former life confirms nothing", "rollout/confirm.py", " or said[name].incarnation != life", "", (STEPS,)),
     Guard("a late beat is no sign of life", "membership/view.py", "facts.beat <= beat", "facts.beat == beat", (VIEW,)),
-    Guard("a newer format is not guessed at", "coordination/values.py", "found.format == form", "True", (VIEW,)),
+    Guard("a newer format is not guessed at", "coordination/values.py", "record.format == expected_format", "True", (VIEW,)),
     Guard("a younger process of one name is seen", "membership/view.py", "facts is not None and facts.incarnation > incarnation", "False", (VIEW,)),
     Guard("what can't be read stops grants", "maintenance/order.py", "lambda: bool(slots.unreadable)", "lambda: False", (ORDER,)),
     Guard("an old picture stops grants", "maintenance/order.py", "lambda: not fleet.is_fresh", "lambda: False", (ORDER,)),
--- a/pearloom/coordination/__init__.py
+++ b/pearloom/coordination/__init__.py
@@ -1,6 +1,6 @@
-"""The place where the softswitches of one fleet agree: a store of the etcd v3 kind, behind a small port.
+"""Coordination of the softswitches of one fleet through a store with the etcd v3 API.
 
-Loaded only where the operator's file names a store. Nothing on a call's path waits for it.
+The package is loaded only if the operator's file names a store. Call processing never waits for the store.
 """
 
 from pearloom.coordination.link import Link
--- a/pearloom/coordination/etcd.py
+++ b/pearloom/coordination/etcd.py
@@ -1,7 +1,8 @@
-"""The port on an etcd v3 store, by the library `etcd3gw` over the store's JSON gateway.
+"""Implements the `Store` protocol on etcd v3, with the library `etcd3gw` over etcd's JSON gateway.
 
-The library blocks, so each call runs in a thread of gevent's own pool: the greenlet that asks waits, no other
-one does. A call ends by its time-out; the pool is bounded: a stalled store holds these threads and no more.
+The library blocks, so each call runs in a thread of a gevent thread pool; only the calling greenlet waits.
+A call ends at its time-out at the latest, and the pool is bounded: a stalled store occupies these threads and
+no more.
 """
 
 from __future__ import annotations
@@ -28,88 +29,94 @@
 )
 from pearloom.coordination.settings import StoreSettings
 
-THREADS = 6  # at once: a watch, a renewal, a beat, a count that is told, a step, an operator's call
-MOST_LINE_BYTES = 4 * 1024 * 1024  # of a watch's answer: a longer one is torn off
-WATCH_S = 5.0  # a watch that tells nothing for so long is opened anew, from where it stood
+# Calls that may run at the same time: a watch, a lease renewal, a heartbeat, the publishing of a rollout's
+# evidence, a maintenance or rollout step, and an operator's call.
+POOL_THREADS = 6
+MAX_LINE_BYTES = 4 * 1024 * 1024  # of one line of a watch's response; a longer line ends the watch
+WATCH_READ_TIMEOUT_S = 5.0  # a watch that is silent for this long is reopened after the last revision read
 T = TypeVar("T")
 
 
-def _end_of(prefix: bytes) -> bytes:
-    """The first key after all that begin with the prefix (etcd's convention for a range)."""
+def _range_end(prefix: bytes) -> bytes:
+    """The first key after all keys with the prefix, as etcd expects it for a range."""
     return prefix[:-1] + bytes((prefix[-1] + 1,))
 
 
-def _text(value: bytes) -> str:
+def _base64(value: bytes) -> str:
     return b64encode(value).decode("ascii")
 
 
 class EtcdStore:
-    """One store at one of its addresses; the next address is taken after each failure."""
+    """A client of the store at one of its addresses; each failure switches to the next address."""
 
     def __init__(self, settings: StoreSettings) -> None:
-        """Connects to nothing yet."""
+        """Create the client without connecting to the store."""
         self._settings = settings
         self._prefix = settings.prefix.encode("utf-8")
-        self._pool = ThreadPool(THREADS)
-        self._at = 0
-        self._client = self._dial()
+        self._pool = ThreadPool(POOL_THREADS)
+        self._address_index = 0
+        self._client = self._create_client()
 
-    def _dial(self) -> Etcd3Client:
-        host, port = self._settings.addresses[self._at % len(self._settings.addresses)]
+    def _create_client(self) -> Etcd3Client:
+        host, port = self._settings.addresses[self._address_index % len(self._settings.addresses)]
         session = requests.Session()
-        session.trust_env = False  # no proxy of the surroundings comes between a softswitch and its store
-        session.mount("http://", HTTPAdapter(pool_connections=1, pool_maxsize=THREADS, max_retries=0))
+        session.trust_env = False  # connect directly, whatever proxy the environment names
+        session.mount("http://", HTTPAdapter(pool_connections=1, pool_maxsize=POOL_THREADS, max_retries=0))
         timeout = self._settings.timeout_ms / 1000.0
         return Etcd3Client(host=host, port=port, timeout=timeout, api_path="/v3/", session=session)
 
-    # --- calls ----------------------------------------------------------------------------------------------
-    def _call(self, write: Callable[[Etcd3Client], T]) -> T:
-        """One call in a thread; whatever goes wrong becomes a StoreError."""
+    def _call(self, operation: Callable[[Etcd3Client], T]) -> T:
+        """Run one operation in a thread of the pool; raises StoreError for every failure."""
         client = self._client
 
         def guarded() -> T | StoreError:
             try:
-                return write(client)
-            except (Etcd3Exception, requests.RequestException, OSError) as trouble:
-                detail = getattr(trouble, "detail_text", None) or str(trouble) or type(trouble).__name__
+                return operation(client)
+            except (Etcd3Exception, requests.RequestException, OSError) as error:
+                detail = getattr(error, "detail_text", None) or str(error) or type(error).__name__
                 return StoreError(str(detail).strip().splitlines()[0][:200])
-            except (ValueError, KeyError, TypeError, AttributeError, IndexError) as trouble:
-                return StoreError(f"the store's answer can't be read: {str(trouble)[:160]}")
+            except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
+                return StoreError(f"malformed response from the store: {str(error)[:160]}")
 
-        found = self._pool.apply(guarded)
-        if isinstance(found, StoreError):
-            self._at += 1
-            self._client = self._dial()
-            raise found
-        return found
+        result = self._pool.apply(guarded)
+        if isinstance(result, StoreError):
+            self._address_index += 1
+            self._client = self._create_client()
+            raise result
+        return result
 
     def read(self) -> Snapshot:
-        """All keys below the prefix, at one revision."""
+        """Read all keys with the prefix, at one revision."""
 
-        def write(client: Etcd3Client) -> Snapshot:
-            payload = {"key": _text(self._prefix), "range_end": _text(_end_of(self._prefix))}
-            answer = client.post(client.get_url("/kv/range"), json=payload)
-            cluster, revision = self._place(answer)
-            return Snapshot(cluster, revision, tuple(self._entry(kv) for kv in answer.get("kvs", ())))
+        def read_range(client: Etcd3Client) -> Snapshot:
+            payload = {"key": _base64(self._prefix), "range_end": _base64(_range_end(self._prefix))}
+            response = client.post(client.get_url("/kv/range"), json=payload)
+            cluster, revision = self._cluster_and_revision(response)
+            return Snapshot(cluster, revision, tuple(self._entry(kv) for kv in response.get("kvs", ())))
 
-        return self._call(write)
+        return self._call(read_range)
 
-    def commit(self, attempt: Transaction, lease: int) -> bool:
-        """One transaction; False where a compare did not hold."""
+    def commit(self, transaction: Transaction, lease: int) -> bool:
+        """Run one transaction; returns False if a compare failed."""
         payload = {
             "compare": [
                 {
-                    "key": self._key(one.key),
+                    "key": self._key(compare.key),
                     "target": "MOD",
                     "result": "EQUAL",
-                    "mod_revision": str(one.mod_revision),
+                    "mod_revision": str(compare.mod_revision),
                 }
-                for one in attempt.compares
+                for compare in transaction.compares
             ]
             + [
-                {"key": self._key(one.key), "target": "VALUE", "result": "EQUAL", "value": _text(one.value)}
-                for one in attempt.compares
-                if one.value is not None
+                {
+                    "key": self._key(compare.key),
+                    "target": "VALUE",
+                    "result": "EQUAL",
+                    "value": _base64(compare.value),
+                }
+                for compare in transaction.compares
+                if compare.value is not None
             ],
             "success": [
                 {"request_delete_range": {"key": self._key(write.key)}}
@@ -117,84 +124,84 @@
                 else {
                     "request_put": {
                         "key": self._key(write.key),
-                        "value": _text(write.value),
+                        "value": _base64(write.value),
                         **({"lease": str(lease)} if write.lease else {}),
                     }
                 }
-                for write in attempt.writes
+                for write in transaction.writes
             ],
             "failure": [],
         }
         return self._call(lambda client: bool(client.transaction(payload).get("succeeded", False)))
 
     def grant(self, ttl_s: int) -> int:
-        """A new lease."""
+        """Create a lease that expires after `ttl_s` seconds without renewal; returns its id."""
         return self._call(lambda client: int(client.lease(ttl_s).id))
 
     def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False where it is over."""
+        """Renew a lease; returns False if it has ended."""
         return self._call(lambda client: Lease(lease, client).refresh() > 0)
 
     def revoke(self, lease: int) -> None:
-        """End a lease, and its keys."""
+        """End a lease, which deletes its keys."""
         self._call(lambda client: Lease(lease, client).revoke())
 
-    def watch(self, after: int, told: Callable[[Changes], bool]) -> None:
-        """Tell of every change after this revision; raises StoreError when the watch breaks.
+    def watch(self, after: int, on_changes: Callable[[Changes], bool]) -> None:
+        """Call `on_changes` for every change after this revision until it returns False.
 
-        Each piece is read in a thread and told in this greenlet. The library's own watcher swallows what
-        tears its thread, so the stream is read here, by lines, over the library's session."""
+        Raises StoreError when the watch breaks. Each line of the response is read in a thread of the pool;
+        `on_changes` runs in the calling greenlet. The library's own watcher hides exceptions of its thread,
+        so the stream is read here, line by line, over the library's session."""
         client = self._client
 
-        def opened(client: Etcd3Client) -> requests.Response:
-            key, end = _text(self._prefix), _text(_end_of(self._prefix))
+        def open_watch(client: Etcd3Client) -> requests.Response:
+            key, end = _base64(self._prefix), _base64(_range_end(self._prefix))
             create = {"key": key, "range_end": end, "start_revision": str(after + 1)}
-            timeout = (self._settings.timeout_ms / 1000.0, WATCH_S)
+            timeout = (self._settings.timeout_ms / 1000.0, WATCH_READ_TIMEOUT_S)
             return client.session.post(
                 client.get_url("/watch"), json={"create_request": create}, stream=True, timeout=timeout
             )
 
-        response = self._call(opened)
+        response = self._call(open_watch)
         lines = response.iter_lines(chunk_size=None)
 
-        def heard(client: Etcd3Client) -> Changes:
+        def receive(client: Etcd3Client) -> Changes:
             line = next(lines, b"")
             if not line:
-                raise ValueError("the watch ended")
-            if len(line) > MOST_LINE_BYTES:
-                raise ValueError("the watch told more than it may")
+                raise ValueError("the store closed the watch")
+            if len(line) > MAX_LINE_BYTES:
+                raise ValueError("a line of the watch is too long")
             return self._changes(json.loads(line)["result"], after)
 
         try:
-            while told(self._call(heard)):
+            while on_changes(self._call(receive)):
                 pass
         finally:
             response.close()
             if self._client is client:
-                self._client = self._dial()  # the connection of a torn watch is not used again
+                self._client = self._create_client()  # the connection of an ended watch is not reused
 
     def close(self) -> None:
-        """Use the store no more."""
+        """Close the connection and the thread pool."""
         self._client.session.close()
         self._pool.kill()
 
-    # --- values ---------------------------------------------------------------------------------------------
     def _key(self, key: str) -> str:
-        return _text(self._prefix + key.encode("utf-8"))
+        return _base64(self._prefix + key.encode("utf-8"))
 
-    def _place(self, answer: Mapping[str, Any]) -> tuple[int, int]:
-        header = answer["header"]
+    def _cluster_and_revision(self, response: Mapping[str, Any]) -> tuple[int, int]:
+        header = response["header"]
         return int(header["cluster_id"]), int(header["revision"])
 
-    def _name(self, kv: Mapping[str, Any]) -> str:
+    def _relative_key(self, kv: Mapping[str, Any]) -> str:
         return b64decode(kv["key"]).decode("utf-8", "replace").removeprefix(self._settings.prefix)
 
     def _entry(self, kv: Mapping[str, Any]) -> Entry:
         value = b64decode(kv.get("value", ""))
         if len(value) > MAX_VALUE_BYTES:
-            value = b""  # read as a value that can't be used, whoever reads it; the others stay of use
+            value = b""  # no record decodes from this, so only this key counts as unreadable
         return Entry(
-            self._name(kv),
+            self._relative_key(kv),
             value,
             int(kv["create_revision"]),
             int(kv["mod_revision"]),
@@ -203,18 +210,20 @@
 
     def _changes(self, result: Mapping[str, Any], after: int) -> Changes:
         if result.get("canceled"):
-            raise ValueError(str(result.get("cancel_reason", "the store ended the watch")))
-        cluster, revision = self._place(result)
+            raise ValueError(str(result.get("cancel_reason", "the store cancelled the watch")))
+        cluster, revision = self._cluster_and_revision(result)
         if revision < after:
-            raise ValueError(f"the store stands at {revision}, before {after} that it has told")
-        last: dict[str, tuple[int, Entry | None]] = {}
+            raise ValueError(
+                f"the store is at revision {revision}, older than {after}, which it has sent before"
+            )
+        latest: dict[str, tuple[int, Entry | None]] = {}
         for event in result.get("events", ()):
             deleted = event.get("type") in ("DELETE", 1)
             mod = int(event["kv"]["mod_revision"])
-            last[self._name(event["kv"])] = (mod, None if deleted else self._entry(event["kv"]))
-        # Guards against changes that are lost between the read and the first line of its watch: that line
-        # tells the store's revision of the moment, and those before it come only after it.
-        told = max((mod for mod, _ in last.values()), default=0)
-        put = tuple(entry for _, entry in last.values() if entry is not None)
-        gone = tuple((key, mod) for key, (mod, entry) in last.items() if entry is None)
-        return Changes(cluster, told, put, gone)
+            latest[self._relative_key(event["kv"])] = (mod, None if deleted else self._entry(event["kv"]))
+        # Guards against losing changes between the read and the first line of its watch: the header of that
+        # line has the store's current revision, and the changes before that revision follow in later lines.
+        newest = max((mod for mod, _ in latest.values()), default=0)
+        put = tuple(entry for _, entry in latest.values() if entry is not None)
+        deleted_keys = tuple((key, mod) for key, (mod, entry) in latest.items() if entry is None)
+        return Changes(cluster, newest, put, deleted_keys)
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -1,7 +1,7 @@
-"""One softswitch's link to the store: keeps what is there at hand, its own lease alive, and tries steps.
+"""One softswitch's link to the store: follows the stored keys, renews the lease, and commits transactions.
 
-Greenlets of its own ask the store; whoever needs something reads `snapshot`, which is as it was last heard.
-What to do when is decided in `timing.py` and `port.py`; this file only waits and calls.
+Two greenlets of the link call the store; other code reads `snapshot`, the state received last. The decisions
+about times and transactions are in `timing.py` and `port.py`; this module only waits and does I/O.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from pearloom.core.counters import Counters
 from pearloom.core.logs import crashed, note
 
-KEEP_LOOK_S = 0.05
-READ_BACK_TRIES = 3  # after a lost reply, before the outcome counts as unknown
+LEASE_POLL_S = 0.05  # between checks whether the lease is due for renewal
+READ_BACK_TRIES = 3  # reads after a lost reply before the outcome counts as unknown
 
 
 def steady_ms() -> float:
-    """Time that no setting of the wall clock moves; it goes on while the process is stopped."""
+    """Milliseconds of a clock that no change of the wall clock affects, and that counts suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 class Link:
-    """Starts with nothing known; `on_change` is called in a greenlet of the link after each change."""
+    """Follows the store from `start` on; each change calls `on_change` in a greenlet of the link."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         random: Random,
         steady_ms: Callable[[], float] = steady_ms,
     ) -> None:
-        """Nothing is asked before `start`."""
+        """Create the link; the store is first called after `start`."""
         self._store = store
         self._counters = counters
         self._now_ms = steady_ms
-        self._read_pause, self._lease_pause = Backoff(random), Backoff(random)
+        self._read_backoff, self._lease_backoff = Backoff(random), Backoff(random)
         self._lease_s = settings.lease_s
         self.lease = LocalLease(settings.lease_s * 1000.0)
         self.freshness = Freshness(settings.fresh_ms)
@@ -65,122 +65,127 @@
         # Called after a new lease was granted; the keys bound to the lease before it are gone.
         self.on_lease_granted: list[Callable[[], None]] = []
         self._changed = Event()
-        self._up = True
+        self._is_reachable = True
         self._greenlets: list[gevent.Greenlet[..., None]] = []
 
     def start(self) -> None:
-        """Begin to read and to keep a lease."""
-        self._greenlets = [gevent.spawn(self._follow), gevent.spawn(self._keep)]
+        """Start following the store and holding a lease."""
+        self._greenlets = [gevent.spawn(self._follow_store), gevent.spawn(self._hold_lease)]
 
     def close(self, release_s: float = 0.5) -> None:
-        """Ask no more; the lease is given back if the store answers in that time."""
+        """Stop calling the store; the lease is revoked if the store answers within `release_s` seconds."""
         gevent.killall(self._greenlets, timeout=0.1)
         if self.lease.lease_id:
-            number = self.lease.lease_id
+            lease_id = self.lease.lease_id
             self.lease.ended()
-            gevent.spawn(self._quietly, lambda: self._store.revoke(number)).join(release_s)
+            gevent.spawn(self._ignore_store_error, lambda: self._store.revoke(lease_id)).join(release_s)
 
     @property
     def is_fresh(self) -> bool:
-        """May something new be started on what is at hand?"""
+        """Whether the snapshot is recent enough to start something new from it."""
         return self.snapshot is not None and self.freshness.is_fresh(self._now_ms())
 
     def may_act(self) -> bool:
-        """Is the own lease certainly alive at this moment? Asked directly before each deed."""
+        """Whether the lease is certainly alive now. Callers check this directly before each action."""
         return self.lease.state(self._now_ms()) is LeaseState.HELD
 
     def await_change(self, timeout_s: float) -> None:
-        """Until something changed, or that long."""
+        """Wait for the next change, `timeout_s` seconds at most."""
         self._changed.wait(timeout_s)
 
-    # --- reading --------------------------------------------------------------------------------------------
-    def _follow(self) -> None:
+    def _follow_store(self) -> None:
         while True:
             try:
                 self._read()
-                self._read_pause.reset()
-                self._told_up(True)
+                self._read_backoff.reset()
+                self._log_reachability(True)
                 self._watch()
-            except StoreError as trouble:
-                self._told_up(False, str(trouble))
-                gevent.sleep(self._read_pause.record_failure() / 1000.0)
+            except StoreError as error:
+                self._log_reachability(False, str(error))
+                gevent.sleep(self._read_backoff.record_failure() / 1000.0)
             except Exception:
                 crashed("store_follow_failed")
-                gevent.sleep(self._read_pause.record_failure() / 1000.0)
+                gevent.sleep(self._read_backoff.record_failure() / 1000.0)
 
     def _read(self) -> None:
-        asked, seen = self._now_ms(), self.newest_revision
+        requested_ms, known = self._now_ms(), self.newest_revision
         self._counters.add("store_reads")
-        self._take(self._store.read(), asked, seen)
+        self._apply_snapshot(self._store.read(), requested_ms, known)
 
     def _watch(self) -> None:
         assert self.snapshot is not None
-        self._store.watch(self.snapshot.revision, self._heard)
+        self._store.watch(self.snapshot.revision, self._apply_watch)
 
-    def _heard(self, changes: Changes) -> bool:
-        """Take a watch's changes over; False: they don't follow, so all is read anew."""
+    def _apply_watch(self, changes: Changes) -> bool:
+        """Apply the changes of a watch; returns False if all keys have to be read again."""
         assert self.snapshot is not None
         now = self._now_ms()
         if changes.cluster == self.snapshot.cluster and changes.revision <= self.snapshot.revision:
             self.freshness.record_read(now)
-            return True  # a read of another greenlet had it already
-        found = apply_changes(self.snapshot, changes)
-        if found is None:
+            return True  # another greenlet has already read this state
+        updated = apply_changes(self.snapshot, changes)
+        if updated is None:
             note(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
             return False
-        self._take(found, now, self.newest_revision)
+        self._apply_snapshot(updated, now, self.newest_revision)
         return True
 
-    def _take(self, found: Snapshot, asked_ms: float, seen: tuple[int, int]) -> None:
-        """Take a read over; `seen`: the newest that was known when it was asked for."""
-        cluster, revision = seen
-        if found.cluster == self.newest_revision[0] and revision <= found.revision < self.newest_revision[1]:
-            return  # another greenlet's read has overtaken this one
-        if (found.cluster, found.revision) < (cluster, revision) or (cluster and found.cluster != cluster):
-            # Guards against a store that came back without its last writes and is obeyed silently.
+    def _apply_snapshot(self, received: Snapshot, requested_ms: float, known: tuple[int, int]) -> None:
+        """Make a received state the current one.
+
+        `known` is the newest cluster and revision that this process knew when it requested the state."""
+        cluster, revision = known
+        if (
+            received.cluster == self.newest_revision[0]
+            and revision <= received.revision < self.newest_revision[1]
+        ):
+            return  # a newer read of another greenlet has already been applied
+        if (received.cluster, received.revision) < (cluster, revision) or (
+            cluster and received.cluster != cluster
+        ):
+            # Guards against silently using a store that came back without its last writes.
             self._counters.add("store_diverged")
             note(
-                logging.ERROR, "store_diverged", cluster=cluster, seen=revision, told_cluster=found.cluster,
-                told=found.revision,
+                logging.ERROR, "store_diverged", cluster=cluster, seen=revision,
+                told_cluster=received.cluster, told=received.revision,
             )  # fmt: skip
         self.newest_revision = (
-            max(self.newest_revision, (found.cluster, found.revision))
-            if found.cluster == cluster
-            else (found.cluster, found.revision)
+            max(self.newest_revision, (received.cluster, received.revision))
+            if received.cluster == cluster
+            else (received.cluster, received.revision)
         )
-        before, self.snapshot = self.snapshot, found
-        self.freshness.record_read(asked_ms)
-        if before is None or before.entries != found.entries:
-            for told in self.on_change:
+        before, self.snapshot = self.snapshot, received
+        self.freshness.record_read(requested_ms)
+        if before is None or before.entries != received.entries:
+            for callback in self.on_change:
                 try:
-                    told(found)
+                    callback(received)
                 except Exception:
                     crashed("store_change_failed")
             self._changed.set()
             self._changed.clear()
 
-    def _told_up(self, up: bool, reason: str = "") -> None:
-        if up == self._up and self.snapshot is not None:
+    def _log_reachability(self, is_reachable: bool, reason: str = "") -> None:
+        if is_reachable == self._is_reachable and self.snapshot is not None:
             return
-        if not up:
+        if not is_reachable:
             self._counters.add("store_lost")
             note(logging.WARNING, "store_lost", reason=reason)
-        elif not self._up:
+        elif not self._is_reachable:
             note(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
-        self._up = up
+        self._is_reachable = is_reachable
 
-    # --- the own lease --------------------------------------------------------------------------------------
-    def _keep(self) -> None:
+    def _hold_lease(self) -> None:
         while True:
             now = self._now_ms()
             if self.lease.lease_id and now < self.lease.renew_at_ms:
-                gevent.sleep(KEEP_LOOK_S)
+                gevent.sleep(LEASE_POLL_S)
                 continue
             try:
-                # Guards against a lease that is kept alive by renewals whose answers never come: this process
-                # may not act on it, and the others would take it for live. It is left to end.
-                held = self.lease.state(now) is LeaseState.HELD
-                if held and self._store.keep_alive(self.lease.lease_id):
+                # Guards against a lease that is kept alive by renewals whose responses never arrive: this
+                # process may not act on it, yet the other members would see it as live. It is left to end.
+                is_held = self.lease.state(now) is LeaseState.HELD
+                if is_held and self._store.keep_alive(self.lease.lease_id):
                     self.lease.granted(self.lease.lease_id, now)
                 else:
                     if self.lease.lease_id:
@@ -188,47 +193,52 @@
                         note(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
-                    for told in self.on_lease_granted:
-                        told()
-                self._lease_pause.reset()
+                    for callback in self.on_lease_granted:
+                        callback()
+                self._lease_backoff.reset()
             except StoreError:
-                gevent.sleep(self._lease_pause.record_failure() / 1000.0)
+                gevent.sleep(self._lease_backoff.record_failure() / 1000.0)
             except Exception:
                 crashed("store_lease_failed")
-                gevent.sleep(self._lease_pause.record_failure() / 1000.0)
+                gevent.sleep(self._lease_backoff.record_failure() / 1000.0)
 
     def read_again(self) -> None:
-        """Read all now, where the watch may not have told yet; nothing where the store does not answer."""
-        self._quietly(self._read)
+        """Read all keys now, ahead of the watch; does nothing if the store does not answer."""
+        self._ignore_store_error(self._read)
 
-    # --- steps ----------------------------------------------------------------------------------------------
-    def commit(self, attempt: Transaction) -> Outcome:
-        """Try one step. A lost reply is settled by reading back who won."""
-        if not self.may_act() and any(write.lease for write in attempt.writes):
+    def commit(self, transaction: Transaction) -> Outcome:
+        """Try one transaction. After a lost reply, the store is read to find out whether it took effect."""
+        if not self.may_act() and any(write.lease for write in transaction.writes):
             return Outcome.LOST
         self._counters.add("store_attempts")
         try:
-            won = self._store.commit(attempt, self.lease.lease_id)
-        except StoreError as trouble:
-            note(logging.WARNING, "store_reply_lost", reason=str(trouble))
-            return self._read_back(attempt)
+            won = self._store.commit(transaction, self.lease.lease_id)
+        except StoreError as error:
+            note(logging.WARNING, "store_reply_lost", reason=str(error))
+            return self._read_back(transaction)
         return Outcome.WON if won else Outcome.LOST
 
-    def _read_back(self, attempt: Transaction) -> Outcome:
-        pause = Backoff(Random(0))
+    def _read_back(self, transaction: Transaction) -> Outcome:
+        backoff = Backoff(Random(0))
         for _ in range(READ_BACK_TRIES):
             try:
-                asked, seen = self._now_ms(), self.newest_revision
-                found = self._store.read()
+                requested_ms, known = self._now_ms(), self.newest_revision
+                snapshot = self._store.read()
             except StoreError:
-                gevent.sleep(pause.record_failure() / 1000.0)
+                gevent.sleep(backoff.record_failure() / 1000.0)
                 continue
-            self._take(found, asked, seen)
-            took = took_effect(attempt, attempt.compares, found)
+            self._apply_snapshot(snapshot, requested_ms, known)
+            has_taken_effect = took_effect(transaction, transaction.compares, snapshot)
             self._counters.add("store_read_back")
-            return Outcome.UNKNOWN if took is None else Outcome.WON if took else Outcome.LOST
+            return (
+                Outcome.UNKNOWN
+                if has_taken_effect is None
+                else Outcome.WON
+                if has_taken_effect
+                else Outcome.LOST
+            )
         return Outcome.UNKNOWN
 
-    def _quietly(self, write: Callable[[], None]) -> None:
+    def _ignore_store_error(self, operation: Callable[[], None]) -> None:
         with contextlib.suppress(StoreError):
-            write()
+            operation()
--- a/pearloom/coordination/port.py
+++ b/pearloom/coordination/port.py
@@ -1,7 +1,7 @@
-"""What pearloom asks of a store, in values. No I/O: decisions see these types and never the store itself.
+"""The interface of the store, as values and a protocol. No I/O: decisions use these types, not the store.
 
-An attempt is an optimistic transaction: all compares hold, and then all deeds are done as one, or nothing is.
-That no standing leader is needed rests on this: every softswitch may try the same step, and one wins.
+A transaction is optimistic: if all compares hold, all writes are done as one, otherwise none is. The fleet
+therefore needs no elected leader: every softswitch may try the same step, and one of them succeeds.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from enum import Enum
 from typing import Protocol
 
-MAX_VALUE_BYTES = 64 * 1024  # of one key: a larger one was not written by pearloom and is refused unread
+MAX_VALUE_BYTES = 64 * 1024  # of one key; pearloom writes no larger value, so a larger one is not decoded
 
 
 class StoreError(Exception):
-    """The store gave no usable answer; `sent`: what was asked may have taken effect all the same."""
+    """The store gave no usable response; if `sent` is true, the request may have taken effect."""
 
     def __init__(self, reason: str, sent: bool = True) -> None:
-        """`reason` is one line."""
+        """`reason` is a single line."""
         super().__init__(reason)
         self.sent = sent
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key: its value, and the revisions at which it was created and last written."""
+    """A key with its value, the revisions at which it was created and last written, and its lease."""
 
     key: str
     value: bytes
@@ -36,29 +36,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All keys below the prefix, as they were at one revision of one store.
+    """All keys with the configured prefix at one revision of the store.
 
-    `cluster` tells a store that was made anew from the one before, whose revisions mean nothing here."""
+    `cluster` distinguishes a newly created store from a former one, whose revisions can't be compared."""
 
     cluster: int
     revision: int
     entries: tuple[Entry, ...]
 
     def find(self, key: str) -> Entry | None:
-        """The entry of this key, if it is there."""
+        """The entry of this key, or None."""
         return next((entry for entry in self.entries if entry.key == key), None)
 
     def with_prefix(self, prefix: str) -> tuple[Entry, ...]:
-        """The entries whose keys begin so, by key."""
+        """The entries whose keys have this prefix, sorted by key."""
         return tuple(entry for entry in self.entries if entry.key.startswith(prefix))
 
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """The key was last written at this revision (0: it is not there), and holds this value, if one is told.
+    """The key was last written at this revision (0: it does not exist), and has this value if one is given.
 
-    The value matters where a store may come back without its last writes: it gives their revisions again, to
-    other writes. A value that carries a tag of its own is told from whatever else got its revision."""
+    The value matters because a store may come back without its last writes and assign their revisions to
+    other writes. A value with a unique tag can't be mistaken for another write with the same revision."""
 
     key: str
     mod_revision: int
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Put a value, or delete the key (`value` None); `lease`: the key ends with the own lease."""
+    """Put a value, or delete the key (`value` None); `lease`: the key is deleted when the lease ends."""
 
     key: str
     value: bytes | None
@@ -76,26 +76,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """One optimistic transaction; its marker tells later whether it took effect, where the reply was lost."""
+    """An optimistic transaction; after a lost reply, its values show whether it took effect."""
 
     compares: tuple[Compare, ...]
     writes: tuple[Write, ...]
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """Result of a transaction."""
 
     WON = "won"
-    LOST = "lost"  # something was written in between: look again
-    UNKNOWN = "unknown"  # no answer came, and the store could not be read since
+    LOST = "lost"  # another write came first: read the state again
+    UNKNOWN = "unknown"  # no reply, and reading the state did not settle it
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What a watch told: the keys written (with their values), those deleted, and at which revision.
+    """Changes received from a watch: the keys written, with their values, and the keys deleted.
 
-    `revision` is the newest change's, never the store's own of that moment, which may be ahead of what has
-    been told; 0 where a line tells of no change."""
+    `revision` is that of the newest change, not the store's current one, which may be ahead of the changes
+    received so far; 0 if there is no change."""
 
     cluster: int
     revision: int
@@ -104,55 +104,56 @@
 
 
 class Store(Protocol):
-    """A store; each call blocks its greenlet alone, ends within the time-out, and raises StoreError."""
+    """A store; each call blocks only its greenlet, ends within the time-out, and raises StoreError."""
 
     def read(self) -> Snapshot:
-        """All keys below the prefix."""
+        """Read all keys with the configured prefix."""
 
-    def commit(self, attempt: Transaction, lease: int) -> bool:
-        """Try it; False where a compare did not hold."""
+    def commit(self, transaction: Transaction, lease: int) -> bool:
+        """Try a transaction; returns False if a compare did not hold."""
 
     def grant(self, ttl_s: int) -> int:
-        """A new lease."""
+        """Create a lease with this TTL in seconds; returns its id."""
 
     def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False where it is over."""
+        """Renew a lease; returns False if it has ended."""
 
     def revoke(self, lease: int) -> None:
-        """End a lease, and its keys."""
+        """End a lease and delete its keys."""
 
-    def watch(self, after: int, told: Callable[[Changes], bool]) -> None:
-        """Tell of every change after this revision until it breaks or `told` returns False."""
+    def watch(self, after: int, on_changes: Callable[[Changes], bool]) -> None:
+        """Pass each change after this revision to `on_changes` until it returns False or the watch breaks."""
 
 
 def apply_changes(snapshot: Snapshot, changes: Changes) -> Snapshot | None:
-    """The snapshot with these changes, or None where they don't follow from it and all is to be read anew.
+    """The snapshot with these changes, or None if they don't follow it, so that all keys must be read again.
 
     Guards against a watch that goes on at another store, or at one that lost its last writes: its revisions
-    are lower, and what they stand for is something else."""
+    are lower, and stand for other writes."""
     if changes.cluster != snapshot.cluster or changes.revision < snapshot.revision:
         return None
-    held = {entry.key: entry for entry in snapshot.entries}
+    entries = {entry.key: entry for entry in snapshot.entries}
     for entry in changes.put:
-        # What is not newer than the snapshot is in it already, or was deleted since.
+        # A change that is not newer than the snapshot is part of it, or has been undone by a later deletion.
         if entry.mod_revision > snapshot.revision:
-            held[entry.key] = entry
+            entries[entry.key] = entry
     for key, mod in changes.deleted:
         if mod > snapshot.revision:
-            held.pop(key, None)
-    return Snapshot(changes.cluster, changes.revision, tuple(held[key] for key in sorted(held)))
+            entries.pop(key, None)
+    return Snapshot(changes.cluster, changes.revision, tuple(entries[key] for key in sorted(entries)))
 
 
-def took_effect(attempt: Transaction, before: Sequence[Compare], now: Snapshot) -> bool | None:
-    """Did an attempt whose reply was lost take effect? Read from what is there now.
+def took_effect(transaction: Transaction, before: Sequence[Compare], now: Snapshot) -> bool | None:
+    """Whether a transaction whose reply was lost took effect, judged from the present state.
 
-    True: one of its values stands where it would have put it, under a newer revision than compared with.
-    None: the key was written over since, so that both are possible; the caller looks at what is there and
-    goes on from that, as after a loss. Values that must be told apart carry who wrote them and a number."""
-    put = [write for write in attempt.writes if write.value is not None]
+    True: a key has the transaction's value, at a newer revision than the compared one. False: all compared
+    keys are unchanged. None: a key was overwritten since, so both are possible; the caller goes on from the
+    present state, as after a lost transaction. Values that must be distinguished contain their writer and a
+    number."""
+    put = [write for write in transaction.writes if write.value is not None]
     if not put:
-        gone = all(now.find(write.key) is None for write in attempt.writes)
-        return True if gone else None
+        all_deleted = all(now.find(write.key) is None for write in transaction.writes)
+        return True if all_deleted else None
     compared = {compare.key: compare.mod_revision for compare in before}
     for write in put:
         entry = now.find(write.key)
--- a/pearloom/coordination/settings.py
+++ b/pearloom/coordination/settings.py
@@ -1,4 +1,4 @@
-"""The record `store` of the operator's file: where the fleet agrees."""
+"""The record `store` of the operator's file: the store through which the fleet coordinates."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Where the store is, and how long things may take."""
+    """Addresses, key prefix and times of the store."""
 
-    addresses: tuple[Address, ...]  # tried in this order, the next one after a failure
+    addresses: tuple[Address, ...]  # tried in this order; each failure switches to the next
     prefix: str = "/pearloom/"
-    timeout_ms: float = 1_000.0  # of one call
+    timeout_ms: float = 1_000.0  # limit for one call
     lease_s: int = 5
-    fresh_ms: float = 3_000.0  # on what was read longer ago nothing new is started
+    fresh_ms: float = 3_000.0  # nothing new is started from a snapshot older than this
 
 
 def read_store(fields: Fields) -> StoreSettings:
-    """The record `store`; a RecordError says what is wrong and where."""
-    at: list[Address] = []
+    """Read the record `store`; raises RecordError with the field and the reason."""
+    addresses: list[Address] = []
     for text in fields.texts("at", r"[^:]+:[0-9]{1,5}", "an address with a port"):
         try:
-            at.append(read_address(text))
-        except ConfigError as trouble:
-            raise fields.error("at", f"has to hold addresses with ports: {trouble}") from None
-    if not at:
+            addresses.append(read_address(text))
+        except ConfigError as error:
+            raise fields.error("at", f"has to hold addresses with ports: {error}") from None
+    if not addresses:
         raise fields.error("at", "has to name at least one address of the store")
     prefix = fields.text("prefix", "/pearloom/", _PREFIX, "a path that begins and ends with a slash")
     timeout_ms = fields.number("timeout_ms", 1_000, 50, 10_000)
     lease_s = int(fields.number("lease_s", 5, 2, 600, whole=True))
     if timeout_ms * 2 > lease_s * 1000:
-        # Guards against a lease that ends while its own renewal still waits for an answer.
+        # Guards against a lease that ends while its renewal still waits for a response.
         raise fields.error("timeout_ms", f"has to be at most half of lease_s ({lease_s} s)")
     return StoreSettings(
-        tuple(at), prefix, timeout_ms, lease_s, fields.number("fresh_ms", 3_000, 500, 60_000)
+        tuple(addresses), prefix, timeout_ms, lease_s, fields.number("fresh_ms", 3_000, 500, 60_000)
     )
--- a/pearloom/coordination/values.py
+++ b/pearloom/coordination/values.py
@@ -1,6 +1,6 @@
-"""Values of the store, each told by its format. No I/O.
+"""Decodes stored records, each of which carries the number of its format. No I/O.
 
-Guards against a value that is spoilt, or of a newer pearloom, and is guessed at.
+Guards against using a value that is damaged, or that a newer version of pearloom has written.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class Formatted(Protocol):
-    """A value that tells its format."""
+    """A record with a format number."""
 
     @property
     def format(self) -> int:
-        """The number that grows with each change of what is held."""
+        """The format number; it grows with each change of the record's fields."""
 
 
 T = TypeVar("T", bound=Formatted)
 
 
-def decode_record(value: bytes, kind: type[T], form: int) -> T | None:
-    """The value as this type and format, or None where it can't be read as that."""
+def decode_record(value: bytes, record_type: type[T], expected_format: int) -> T | None:
+    """Decode a value as a record of this type and format; None if it is not one."""
     try:
-        found: T = msgspec.json.decode(value, type=kind)
+        record: T = msgspec.json.decode(value, type=record_type)
     except msgspec.MsgspecError:
         return None
-    return found if found.format == form else None
+    return record if record.format == expected_format else None
--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -125,10 +125,10 @@
 def test_a_lease_counts_from_the_asking_and_is_unsure_before_its_end() -> None:
     lease = LocalLease(10_000.0)
     assert lease.state(0.0) is LeaseState.NONE
-    lease.granted(7, asked_ms=1_000.0)
+    lease.granted(7, requested_ms=1_000.0)
     assert lease.state(10_499.0) is LeaseState.HELD
     assert lease.state(10_500.0) is LeaseState.UNCERTAIN
-    lease.granted(7, asked_ms=500.0)  # an older answer that came later shortens nothing
+    lease.granted(7, requested_ms=500.0)  # an older answer that came later shortens nothing
     assert lease.state(10_499.0) is LeaseState.HELD
     lease.ended()
     assert lease.state(0.0) is LeaseState.NONE
