--- a/pearloom/binary/callers.py
+++ b/pearloom/binary/callers.py
@@ -14,14 +14,14 @@
 
 from pearloom.binary.connection import UNHEARD_MS, CallerConnection
 from pearloom.binary.isup import Code, Message
+from pearloom.core.calls import Caller, SetUpRequest
 from pearloom.core.clock import Clock
 from pearloom.core.config import Address, Config
-from pearloom.core.connection import accepted
+from pearloom.core.connection import accept_connections
 from pearloom.core.counters import Counters
 from pearloom.core.exchange import Exchange
-from pearloom.core.logs import note
-from pearloom.core.offers import OfferRules
-from pearloom.core.sides import Caller, Offer
+from pearloom.core.logs import log_event
+from pearloom.core.set_up_validation import SetUpValidator
 
 CONNECTIONS_SHARE = 0.6  # x descriptors: callers hold at most a third; the rest is for servers and files
 BASE_MB = 14.0  # what the program takes with no connection
@@ -50,18 +50,20 @@
         self.counters = counters
         self.stopping = False
         self.yielded = False  # another process accepts in place of this one
-        self.held_elsewhere = 0  # connections of the other process of an upgrade
-        self.elsewhere: Callable[[str, int], bool] = lambda call, cause: False  # who else can tell a release
+        self.previous_process_connections = 0  # connections of the other process of an upgrade
+        self.forward_release: Callable[[str, int], bool] = (
+            lambda call, cause: False
+        )  # who else can tell a release
         self.listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
         self._drained_since = math.inf
         self._yielded_since = math.inf
         self._looks = False
         self._clock = clock
-        self._rules = OfferRules(config)
-        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.most_width)}
+        self._rules = SetUpValidator(config)
+        self._figure_bounds = {**_FIGURE_BOUNDS, "width": (1, config.max_width)}
         room_mb = max(config.memory_mb - BASE_MB, 1.0)
-        self.most = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
+        self.max_connections = int(min(CONNECTIONS_SHARE * config.descriptors, room_mb / 2 / CONNECTION_MB))
         self._connections: dict[CallerConnection, None] = {}
         self._talkers: OrderedDict[CallerConnection, None] = (
             OrderedDict()
@@ -73,7 +75,7 @@
         return self._clock.now_ms()
 
     @property
-    def takes_work(self) -> bool:
+    def is_in_service(self) -> bool:
         """Is the front to send new callers here?"""
         return not self.drained and (self.yielded or not self.stopping)
 
@@ -93,7 +95,7 @@
         return self._clock.now_ms() - min(self._drained_since, self._yielded_since)
 
     @property
-    def refuses(self) -> bool:
+    def is_refusing(self) -> bool:
         """Has a drain or an upgrade gone on for so long that set-ups are refused?"""
         return self.emptied_ms > EMPTY_FOR_MS
 
@@ -106,21 +108,21 @@
         """Take work again; may be repeated."""
         self._drained_since = math.inf
 
-    def yield_(self) -> None:
+    def stop_accepting(self) -> None:
         """Another process accepts from now on: stop, and let go of what is here."""
         if not self.yielded and self._accepting is not None:
             self._accepting.kill()
             self.yielded, self._yielded_since = True, self._clock.now_ms()
             self._empty()
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """The other process is gone: accept again."""
         self.yielded, self._yielded_since = False, math.inf
         if self.listener is not None:
             self._accepting = gevent.spawn(self._accept, self.listener)
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Is nothing under way on any connection, and nothing left to read or write?"""
         return not any(caller.is_busy for caller in self._connections)
 
@@ -153,9 +155,9 @@
 
         A connection stays until all that it brought is over: what carries no call is idle. For calls whose
         own connection is gone, the last that dealt with a call stays."""
-        if not self.drained or self.yielded or not self.exchange.standing_calls:
+        if not self.drained or self.yielded or not self.exchange.established_calls:
             return set()  # or the other process has them
-        brought = set(self.exchange.callers_of_standing())
+        brought = set(self.exchange.callers_of_established())
         kept = {caller for caller in self._connections if caller in brought}
         return kept or set(islice(reversed(self._talkers), 1))
 
@@ -178,7 +180,7 @@
         return host, port
 
     def _accept(self, listener: socket.socket) -> None:
-        for number, sock in enumerate(accepted(listener, "callers"), start=1):
+        for number, sock in enumerate(accept_connections(listener, "callers"), start=1):
             self.counters.add("caller_connections")
             if self._make_room():
                 caller = CallerConnection(self, sock, self.now_ms())
@@ -192,7 +194,7 @@
 
     def _make_room(self) -> bool:
         """Guards against running out of descriptors; where all have set-ups under way there is no room."""
-        if len(self._connections) < self.most - self.held_elsewhere:
+        if len(self._connections) < self.max_connections - self.previous_process_connections:
             return True
         now = self.now_ms()
         kept = set(islice(reversed(self._talkers), TALKERS_KEPT))
@@ -204,14 +206,14 @@
         closed = 0
         # Guards against a crowd that all have something to read: to ask each of them costs too much.
         for (kind, _), _, caller in sorted(ranked)[:MOST_LOOKS]:
-            if closed >= max(EVICTED_SHARE * self.most, 1) or (closed and kind > 1):
+            if closed >= max(EVICTED_SHARE * self.max_connections, 1) or (closed and kind > 1):
                 break
-            if not caller.connection.busy:
+            if not caller.connection.is_busy:
                 closed += 1
                 self.counters.add("caller_connections_closed")
                 caller.connection.close("too many connections")
         if not closed:
-            note(logging.WARNING, "caller_connections_full", most=self.most)
+            log_event(logging.WARNING, "caller_connections_full", most=self.max_connections)
         return closed > 0
 
     def _watch(self) -> None:
@@ -236,9 +238,9 @@
         """Has it brought a set-up?"""
         return caller in self._talkers
 
-    def read_offer(self, message: Message) -> Offer | None:
+    def read_offer(self, message: Message) -> SetUpRequest | None:
         """The set-up in a message, or None where it lacks what a set-up needs."""
-        told = message.text(Code.FIGURES, absent="")
+        told = message.text(Code.ATTRIBUTES, absent="")
         if told is None or (told and not _FIGURES.fullmatch(told)):
             return None
         figures = {
@@ -248,7 +250,7 @@
             if not least <= figures.get(key, least) <= most:
                 return None
         patience = message.text(Code.PATIENCE_MS) or ""
-        return self._rules.offer(
+        return self._rules.validated_request(
             call=message.call,
             class_name=message.text(Code.CLASS),
             tenant_name=message.text(Code.TENANT, absent=""),
@@ -273,7 +275,7 @@
             # Guards against connections that never brought a call: nobody may be listening there.
             chosen = next(reversed(self._talkers), None)
         if chosen is None:
-            if not self.elsewhere(call, cause):
+            if not self.forward_release(call, cause):
                 self._unsent.append((call, cause))
         else:
             chosen.release(call, cause, since_ms)
--- a/pearloom/coordination/link.py
+++ b/pearloom/coordination/link.py
@@ -28,7 +28,7 @@
 from pearloom.coordination.settings import StoreSettings
 from pearloom.coordination.timing import Backoff, Freshness, LeaseState, LocalLease
 from pearloom.core.counters import Counters
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
 
 LEASE_POLL_S = 0.05  # between checks whether the lease is due for renewal
 READ_BACK_TRIES = 3  # reads after a lost reply before the outcome counts as unknown
@@ -104,7 +104,7 @@
                 self._log_reachability(False, str(error))
                 gevent.sleep(self._read_backoff.record_failure() / 1000.0)
             except Exception:
-                crashed("store_follow_failed")
+                log_exception("store_follow_failed")
                 gevent.sleep(self._read_backoff.record_failure() / 1000.0)
 
     def _read(self) -> None:
@@ -125,7 +125,7 @@
             return True  # another greenlet has already read this state
         updated = apply_changes(self.snapshot, changes)
         if updated is None:
-            note(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
+            log_event(logging.WARNING, "store_diverged", at=self.snapshot.revision, told=changes.revision)
             return False
         self._apply_snapshot(updated, now, self.newest_revision)
         return True
@@ -145,7 +145,7 @@
         ):
             # Guards against silently using a store that came back without its last writes.
             self._counters.add("store_diverged")
-            note(
+            log_event(
                 logging.ERROR, "store_diverged", cluster=cluster, seen=revision,
                 told_cluster=received.cluster, told=received.revision,
             )  # fmt: skip
@@ -161,7 +161,7 @@
                 try:
                     callback(received)
                 except Exception:
-                    crashed("store_change_failed")
+                    log_exception("store_change_failed")
             self._changed.set()
             self._changed.clear()
 
@@ -170,9 +170,9 @@
             return
         if not is_reachable:
             self._counters.add("store_lost")
-            note(logging.WARNING, "store_lost", reason=reason)
+            log_event(logging.WARNING, "store_lost", reason=reason)
         elif not self._is_reachable:
-            note(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
+            log_event(logging.INFO, "store_back", revision=self.snapshot.revision if self.snapshot else 0)
         self._is_reachable = is_reachable
 
     def _hold_lease(self) -> None:
@@ -190,7 +190,7 @@
                 else:
                     if self.lease.lease_id:
                         self._counters.add("store_lease_ended")
-                        note(logging.WARNING, "store_lease_ended")
+                        log_event(logging.WARNING, "store_lease_ended")
                     self.lease.ended()
                     self.lease.granted(self._store.grant(self._lease_s), now)
                     for callback in self.on_lease_granted:
@@ -199,7 +199,7 @@
             except StoreError:
                 gevent.sleep(self._lease_backoff.record_failure() / 1000.0)
             except Exception:
-                crashed("store_lease_failed")
+                log_exception("store_lease_failed")
                 gevent.sleep(self._lease_backoff.record_failure() / 1000.0)
 
     def read_again(self) -> None:
@@ -214,7 +214,7 @@
         try:
             won = self._store.commit(transaction, self.lease.lease_id)
         except StoreError as error:
-            note(logging.WARNING, "store_reply_lost", reason=str(error))
+            log_event(logging.WARNING, "store_reply_lost", reason=str(error))
             return self._read_back(transaction)
         return Outcome.WON if won else Outcome.LOST
 
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -5,11 +5,11 @@
 import logging
 from dataclasses import dataclass
 
+from pearloom.core.calls import Media, SetUpAttempt
 from pearloom.core.config import Server
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
-from pearloom.core.logs import note
-from pearloom.core.sides import Media, SetUp
+from pearloom.core.logs import log_event
 from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
 from pearloom.iax2.frames import Elements, Full, Iax, Mini, decode
@@ -30,7 +30,7 @@
 class _Placed:
     """A call of this trunk."""
 
-    set_up: SetUp
+    set_up: SetUpAttempt
     stands: bool = False
     given_up: bool = False  # by the exchange, which waits for its end
 
@@ -66,12 +66,12 @@
         return self._side.clock.now_ms()
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """May it get new set-ups?"""
         return self.server.entry.state is PoolState.READY
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Is it gone, with nothing left to do?"""
         return self.server.entry.state is PoolState.GONE and not len(self._legs)
 
@@ -87,9 +87,9 @@
         if self._port is not None:
             self._port.send(data)
 
-    def set_up(self, set_up: SetUp) -> None:
+    def set_up(self, set_up: SetUpAttempt) -> None:
         """Send NEW."""
-        call = set_up.offer.call
+        call = set_up.request.call
         try:
             self.dial()
         except OSError as trouble:
@@ -99,17 +99,19 @@
         if number is None:
             # Guards against a number whose old leg may still be talking; unreachable, so that others are
             # tried.
-            note(logging.WARNING, "iax2_numbers_out", server=self.name)
+            log_event(logging.WARNING, "iax2_numbers_out", server=self.name)
             self._attempt_ended(set_up, AttemptError(Progress.CONNECTING, "no call number"))
             return
         placed = _Placed(set_up)
         elements = Elements(offer_elements(set_up, "pearloom" if self._secret else ""))
-        leg = IaxLeg(number, elements, self._secret, self.now_ms, lambda: self.ready and not placed.given_up)
+        leg = IaxLeg(
+            number, elements, self._secret, self.now_ms, lambda: self.is_ready and not placed.given_up
+        )
         leg.placed = placed
         self._legs.add(leg)
         self._by_call[call] = leg
         leg.start(self.now_ms)
-        self._exchange.forwarded()
+        self._exchange.count_forwarded()
         self._legs.flush(leg, [])
 
     def give_up(self, call: str) -> Progress | None:
@@ -137,8 +139,8 @@
             leg.placed.given_up = False
             self._attempt_ended(leg.placed.set_up, AttemptError(Progress.SENT, "given up"))
 
-    def _attempt_ended(self, set_up: SetUp, error: AttemptError) -> None:
-        self._exchange.attempt_ended(set_up.offer.call, set_up.attempt, error)
+    def _attempt_ended(self, set_up: SetUpAttempt, error: AttemptError) -> None:
+        self._exchange.attempt_ended(set_up.request.call, set_up.attempt, error)
 
     def withdraw_unsent(self) -> None:
         """Nothing waits here: each frame that starts work asks `ready` before it leaves, the repeats too."""
@@ -151,7 +153,7 @@
             self._liveness.over(leg.source)
             self._close(leg, cause)
 
-    def media(self, call: str, media: Media) -> None:
+    def send_media(self, call: str, media: Media) -> None:
         """Pass on what the caller says."""
         leg = self._by_call.get(call)
         if leg is not None:
@@ -164,7 +166,7 @@
         before, self.server = self.server, server
         if server.entry.started_us > before.entry.started_us:
             # Guards against calls of the process before this one, of which nothing will come.
-            self._exchange.server_lost(self.name, server.entry.started_us / 1000.0, "restarted")
+            self._exchange.handle_server_loss(self.name, server.entry.started_us / 1000.0, "restarted")
         if server.address != before.address and self._port is not None:
             # The legs stay: the server knows them by this side's address and number, if it is the same one.
             self._port.close()
@@ -192,10 +194,10 @@
         self._side.counters.add("pings_out", self._legs.ask(look.ask))
 
     def _lost(self, reason: str) -> None:
-        self._exchange.server_lost(self.name, self.now_ms + 1, reason)
+        self._exchange.handle_server_loss(self.name, self.now_ms + 1, reason)
         for leg in [one for one in self._legs.all() if one.placed.stands]:
             # Should it come back with the call, it hears that nobody is there any more.
-            self._by_call.pop(leg.placed.set_up.offer.call, None)
+            self._by_call.pop(leg.placed.set_up.request.call, None)
             self._liveness.over(leg.source)
             self._close(leg, CAUSE_CUT)
 
@@ -203,7 +205,7 @@
         """The machine says that no process listens: what stood there is cut; set-ups are in doubt."""
         if not len(self._legs):
             return
-        note(logging.INFO, "iax2_refused", server=self.name)
+        log_event(logging.INFO, "iax2_refused", server=self.name)
         self._lost("refused")
         for leg in self._legs.all():
             self._legs.flush(leg, leg.fail(End.UNREACHABLE, self.now_ms))
@@ -213,7 +215,9 @@
         frames = decode(data)
         if isinstance(frames, Malformed):
             self._side.counters.add("malformed_from_servers")
-            note(logging.WARNING, "server_malformed", server=self.name, reason=frames.reason, closed=False)
+            log_event(
+                logging.WARNING, "server_malformed", server=self.name, reason=frames.reason, closed=False
+            )
             return
         now = self.now_ms
         for frame in frames:
@@ -236,7 +240,7 @@
         return leg
 
     def _event(self, leg: IaxLeg, event: Event) -> None:
-        call = leg.placed.set_up.offer.call
+        call = leg.placed.set_up.request.call
         match event:
             case Answered(description, circuits):
                 self._report(circuits)
@@ -257,22 +261,24 @@
             case Failed(stage, end, reason):
                 if end is End.SPOILT:
                     self._side.counters.add("malformed_from_servers")
-                    note(logging.WARNING, "server_malformed", server=self.name, reason=reason, closed=True)
+                    log_event(
+                        logging.WARNING, "server_malformed", server=self.name, reason=reason, closed=True
+                    )
                 ending = proves(stage, end)
                 self._ended(leg, AttemptError(Progress.SENT, f"{end.name.lower()} {reason}".strip(), ending))
             case HungUp(cause):
                 self._liveness.over(leg.source)
                 self._by_call.pop(call, None)
-                self._exchange.released(self.name, call, cause)
+                self._exchange.handle_server_release(self.name, call, cause)
             case Gone(reason):
                 self._liveness.over(leg.source)
                 self._liveness.doubted(self.now_ms)
                 self._by_call.pop(call, None)
-                note(logging.INFO, "iax2_leg_gone", server=self.name, call=call, reason=reason)
-                self._exchange.released(self.name, call, CAUSE_CUT)
+                log_event(logging.INFO, "iax2_leg_gone", server=self.name, call=call, reason=reason)
+                self._exchange.handle_server_release(self.name, call, CAUSE_CUT)
             case Heard(media):
                 self._side.counters.add("media_from_servers")
-                self._exchange.said_by_server(self.name, call, media)
+                self._exchange.relay_server_media(self.name, call, media)
             case Over():
                 self._legs.gone(leg)
                 if self._by_theirs.get(leg.transport.destination) is leg:
@@ -286,23 +292,25 @@
 
     def _ended(self, leg: IaxLeg, error: AttemptError) -> None:
         """The attempt is over without an answer, and the exchange is told once."""
-        if self._by_call.get(leg.placed.set_up.offer.call) is leg:
-            del self._by_call[leg.placed.set_up.offer.call]
+        if self._by_call.get(leg.placed.set_up.request.call) is leg:
+            del self._by_call[leg.placed.set_up.request.call]
             self._attempt_ended(leg.placed.set_up, error)
 
     def _answered(self, leg: IaxLeg, description: bytes | None) -> None:
-        offer, attempt = leg.placed.set_up.offer, leg.placed.set_up.attempt
+        offer, attempt = leg.placed.set_up.request, leg.placed.set_up.attempt
         if description is None and offer.description:
             # Guards against an answer that says nothing of where the call is.
             self._side.counters.add("malformed_from_servers")
-            note(logging.WARNING, "server_malformed", server=self.name, reason="no description", closed=True)
+            log_event(
+                logging.WARNING, "server_malformed", server=self.name, reason="no description", closed=True
+            )
             self._ended(leg, AttemptError(Progress.ANSWERED, "no description", Ending.ERROR))
             self._close(leg)
             return
         leg.placed.stands = True
         self._by_theirs[leg.transport.destination] = leg
         self._liveness.stands(leg.source, self.now_ms)
-        if not self._exchange.stands(offer.call, attempt, description or b""):
+        if not self._exchange.handle_answer(offer.call, attempt, description or b""):
             # Guards against an answer that crossed the end of its call: it would stand for nobody.
             self._by_call.pop(offer.call, None)
             self._liveness.over(leg.source)
@@ -314,6 +322,8 @@
                 report = read_report(figures)
             except ValueError:
                 self._side.counters.add("malformed_from_servers")
-                note(logging.WARNING, "server_malformed", server=self.name, reason="circuits", closed=False)
+                log_event(
+                    logging.WARNING, "server_malformed", server=self.name, reason="circuits", closed=False
+                )
             else:
-                self._exchange.reported(self.name, report)
+                self._exchange.handle_server_report(self.name, report)
--- a/pearloom/policy/controller.py
+++ b/pearloom/policy/controller.py
@@ -47,7 +47,7 @@
         return state.actions
 
     @property
-    def avoided(self) -> int:
+    def ejected_count(self) -> int:
         """How many listed pools get single trials alone: silent, dead, jammed, full or failing."""
         return sum(pool.ejected and pool.state is PoolState.READY for pool in self._state.pools.values())
 
@@ -79,7 +79,7 @@
                 pool.lines = max((p.lines for p in state.pools.values() if p.cell == entry.cell), default=1.0)
                 if entry.started_us > 0:
                     pool.cold_until = entry.started_us + state.settings.warm_after_us
-                    pool.turn = state.random.random()
+                    pool.budget_rounding = state.random.random()
                     if event.kind is ListKind.CACHED:
                         # Guards against a turn that a proxy had before its restart and now takes again.
                         pool.sends = deque([state.now] * state.settings.max_attempts)
--- a/pearloom/rollout/host.py
+++ b/pearloom/rollout/host.py
@@ -17,12 +17,12 @@
 from pearloom.coordination import Compare, Link, Outcome, Snapshot, Transaction, Write
 from pearloom.coordination.timing import contention_delay_ms, rank
 from pearloom.core.counters import Counters
-from pearloom.core.ends import End
-from pearloom.core.logs import crashed, note
+from pearloom.core.logs import log_event, log_exception
+from pearloom.core.outcomes import CallOutcome
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import confirm, evidence, stages, steps
-from pearloom.rollout.confirm import Confirmation, Followed
-from pearloom.rollout.evidence import BUCKETS, Evidence, Tally, rollout_of, stage_mark
+from pearloom.rollout.confirm import Confirmation, ConfirmationStatus
+from pearloom.rollout.evidence import BUCKETS_PER_STAGE, Evidence, Tally, rollout_of, stage_id
 from pearloom.rollout.guard import LocalGuard
 from pearloom.rollout.judge import Judgement
 from pearloom.rules.head import Head, HeadState, Operation, Request, Rollout
@@ -64,7 +64,7 @@
         self._blind_ms = self._halted_ms = float("-inf")
         self._tried: tuple[str, float] = ("", 0.0)
         self._confirms = Event()
-        rules.marked = lambda: self._tally.mark(self._now_ms())
+        rules.marked = lambda: self._tally.arrival_mark(self._now_ms())
         rules.tallied = self._ended
         rules.on_obeyed.append(self._obeyed)
 
@@ -78,24 +78,24 @@
             try:
                 write()
             except Exception:
-                crashed(event)
+                log_exception(event)
             gevent.sleep(pause_s)
 
     # --- counting -------------------------------------------------------------------------------------------
-    def _ended(self, version: str, mark: int, kind: int, end: End, took_ms: float) -> None:
+    def _ended(self, version: str, mark: int, kind: int, end: CallOutcome, took_ms: float) -> None:
         now = self._now_ms()
-        self._tally.ended(version, mark, kind, end, took_ms, now)
+        self._tally.record_end(version, mark, kind, end, took_ms, now)
         self._own.ended(version, kind, end, now)
 
     def _obeyed(self) -> None:
         """The head, or what is gone by here, changed: a new stage is counted from now on."""
-        head, now = self._rules.seen, self._now_ms()
+        head, now = self._rules.applied_head, self._now_ms()
         rollout = head.rollout if head is not None and head.rollout and head.rollout.goes_on else None
         if head is not None and head.rollout is not None and rollout is None and self._tally.stage:
             self._halted_ms = now
-        mark = stage_mark(rollout.id, rollout.stage) if rollout is not None else 0
+        mark = stage_id(rollout.id, rollout.stage) if rollout is not None else 0
         if mark != self._tally.stage:
-            bucket_ms = rollout.terms.evidence_ms / BUCKETS if rollout is not None else 1.0
+            bucket_ms = rollout.terms.evidence_ms / BUCKETS_PER_STAGE if rollout is not None else 1.0
             if rollout is not None and rollout.id != rollout_of(self._tally.stage):
                 self._own.forget(rollout.version)
             self._tally = Tally(self._rules.context.classes, mark, now, bucket_ms)
@@ -115,7 +115,7 @@
         self._confirms.clear()
         # Guards against a fleet that confirms one head in one instant.
         gevent.sleep(secrets.randbelow(1000) / 1000.0 * CONFIRM_SPREAD_S * len(self._member.view.members))
-        head, snapshot = self._rules.seen, self._link.snapshot
+        head, snapshot = self._rules.applied_head, self._link.snapshot
         if head is None:
             return
         said = Confirmation(
@@ -132,7 +132,9 @@
         snapshot = self._link.snapshot
         if snapshot is None or not self._link.may_act():
             return
-        if now - self._told_ms < stages.tell_ms(rollout.terms.tell_ms, len(self._member.view.members)):
+        if now - self._told_ms < stages.publish_interval_ms(
+            rollout.terms.tell_ms, len(self._member.view.members)
+        ):
             return
         self._told_ms = now
         name, life = self._member.name, self._member.incarnation
@@ -151,12 +153,12 @@
 
     # --- looking --------------------------------------------------------------------------------------------
     @property
-    def halted(self) -> bool:
+    def has_recent_halt(self) -> bool:
         """Has a rollout just halted? No turn begins on that."""
         return self._now_ms() - self._halted_ms < HALTED_MS
 
     def _look(self) -> None:
-        head, now = self._rules.seen, self._now_ms()
+        head, now = self._rules.applied_head, self._now_ms()
         rollout = head.rollout if head is not None else None
         if head is None or rollout is None or not rollout.goes_on:
             return
@@ -168,7 +170,7 @@
         if now - self._looked_ms < rollout.terms.look_ms * min(1 + self._rank(rollout), MOST_LOOKS):
             return
         self._looked_ms = now
-        there = self._rules.there
+        there = self._rules.head_state
         if there is None or there.head != head:
             return
         asked = Request(self._member.name, secrets.token_hex(8), "", "", int(time.time() * 1000))
@@ -194,7 +196,7 @@
         self._counters.add(f"rollout_steps_{outcome.value}")
         if outcome is Outcome.WON:
             halted = step.did is Operation.HALTED
-            note(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
+            log_event(logging.ERROR if halted else logging.INFO, "rollout", did=step.did.value, why=step.why)
 
     def _listen(self, rollout: Rollout, now: float) -> None:
         """Who told something new, and whether anybody could."""
@@ -221,7 +223,7 @@
         """All that a step is decided from."""
         snapshot = self._link.snapshot
         assert snapshot is not None, "read once at least: there is a head"
-        told, _ = evidence.told(snapshot, stage_mark(rollout.id, rollout.stage))
+        told, _ = evidence.told(snapshot, stage_id(rollout.id, rollout.stage))
         heard = {
             name: max(self._heard[name][1] if name in self._heard else self._began_ms, self._blind_ms)
             for name in rollout.members
@@ -240,12 +242,12 @@
         why = self._own.regressed(rollout.version, head.version, terms.tolerance, terms.rate)
         if why:
             self._counters.add("rules_left")
-            note(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
+            log_event(logging.ERROR, "rules_left", rollout=rollout.id, version=rollout.version, why=why)
             self._why_left = why
             self._rules.leave(rollout.id)
 
     # --- for operators --------------------------------------------------------------------------------------
-    def followed(self, there: HeadState) -> Followed:
+    def confirmation_status(self, there: HeadState) -> ConfirmationStatus:
         """Who goes by the head already."""
         view, snapshot = self._member.view, self._link.snapshot
         said = confirm.confirmations(snapshot) if snapshot is not None else {}
@@ -256,12 +258,12 @@
         """What each softswitch last said."""
         return {} if self._link.snapshot is None else confirm.confirmations(self._link.snapshot)
 
-    def judged(self, there: HeadState) -> tuple[Judgement, tuple[str, ...], list[Evidence]]:
+    def judge_current_stage(self, there: HeadState) -> tuple[Judgement, tuple[str, ...], list[Evidence]]:
         """What the evidence of this stage says now, the keys that can't be read, and the evidence itself."""
         rollout, snapshot = there.head.rollout, self._link.snapshot
         if rollout is None or snapshot is None:
             return Judgement(), (), []
-        told, unreadable = evidence.told(snapshot, stage_mark(rollout.id, rollout.stage))
+        told, unreadable = evidence.told(snapshot, stage_id(rollout.id, rollout.stage))
         return steps.judged_stage(rollout, there.head.version, told), unreadable, list(told.values())
 
 
--- a/pearloom/rules/table.py
+++ b/pearloom/rules/table.py
@@ -65,10 +65,10 @@
         if not closed:
             return self.route
         base = self.route or Route()
-        return Route(base.only, closed, base.tiers, base.tier, base.weights)
+        return Route(base.allowed_cells, closed, base.tiers, base.default_tier, base.weights)
 
 
-class Table:
+class RoutingTable:
     """One version at one softswitch."""
 
     def __init__(self, version: str, rules: RuleSet, context: LocalContext) -> None:
--- a/pearloom/sip/link.py
+++ b/pearloom/sip/link.py
@@ -9,14 +9,14 @@
 
 from gevent import socket
 
+from pearloom.core.calls import SetUpAttempt
 from pearloom.core.connection import Connection, OutboundMessage
 from pearloom.core.errors import AttemptError, Malformed, Progress
-from pearloom.core.sides import SetUp
 from pearloom.interface import Ending
 from pearloom.sip import codec as sip
 
 if TYPE_CHECKING:
-    from pearloom.sip.trunk import Trunk
+    from pearloom.sip.trunk import SipTrunk
 
 CUT_SHORT_MS = 300.0  # a message that has begun is whole by then, or never
 MUTE_MS = 1000.0  # a connection that left a set-up unanswered and says nothing for so long is closed
@@ -52,23 +52,23 @@
     def __init__(
         self,
         data: bytes,
-        set_up: SetUp,
+        set_up: SetUpAttempt,
         may_leave: Callable[[OutboundSetUp], bool],
         on_written: Callable[[], None],
     ) -> None:
         """`may_leave` is asked before its first byte leaves, `on_written` called once its last one has."""
-        super().__init__(data, set_up.offer.call)
+        super().__init__(data, set_up.request.call)
         self.set_up = set_up
         self.link: Link | None = None
         self.sent_ms = 0.0  # when it was given to its connection
         self._may_leave = may_leave
         self._on_written = on_written
 
-    def may_leave(self) -> bool:
+    def may_send(self) -> bool:
         """Is the call still there, and its caller?"""
         return self._may_leave(self)
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Its last byte has left."""
         self._on_written()
 
@@ -76,7 +76,7 @@
 class Link:
     """One connection to a session server."""
 
-    def __init__(self, trunk: Trunk, sock: socket.socket, now_ms: float) -> None:
+    def __init__(self, trunk: SipTrunk, sock: socket.socket, now_ms: float) -> None:
         """Take a connection that has come up."""
         self._trunk = trunk
         self._decoder = sip.Decoder()
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pearloom.core.sides import Media, MediaKind
+from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.doubt import End, Stage
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
 from pearloom.iax2.frames import Control, Element, Elements, Full, Iax, Mini, Type, decode
@@ -97,7 +97,7 @@
     assert [(one.kind, one.payload) for one in said] == [
         (MediaKind.VOICE, b"hello"), (MediaKind.VOICE, b"again"), (MediaKind.DIGIT, b"5"),
     ]  # fmt: skip
-    assert said[1].stamp_ms - said[0].stamp_ms == 20
+    assert said[1].timestamp_ms - said[0].timestamp_ms == 20
     inside.hang_up(16, 100.0)
     pair.carry()
     assert kinds(pair.told) == [Answered, HungUp, Over] and kinds(pair.heard)[-1] is Over
@@ -274,7 +274,7 @@
         pair.now = float(stamp)
         pair.out.say(Media(MediaKind.VOICE, 4, stamp, b"v"), pair.now)
         pair.carry()
-    said = [event.media.stamp_ms for event in pair.heard if isinstance(event, Heard)]
+    said = [event.media.timestamp_ms for event in pair.heard if isinstance(event, Heard)]
     assert [later - sooner for sooner, later in pairwise(said)] == [200] * 19
 
 
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -18,11 +18,11 @@
 )
 
 from pearloom.coordination.port import Compare, Snapshot, Transaction, Write
-from pearloom.core.ends import End
+from pearloom.core.outcomes import CallOutcome
 from pearloom.fakes.fleet.simulation import apply
 from pearloom.rollout import confirm, evidence, stages
 from pearloom.rollout.confirm import Confirmation
-from pearloom.rollout.evidence import Tally, added, stage_mark
+from pearloom.rollout.evidence import Tally, added, stage_id
 from pearloom.rollout.steps import RolloutStep, Seen, next_step
 from pearloom.rules import head as heads
 from pearloom.rules.head import Head, Operation, Request, Terms, follows, read_there
@@ -31,7 +31,7 @@
 ZONES = {"n1": "a", "n2": "b", "n3": "b"}
 TERMS = Terms(soak_ms=1_000, evidence_ms=30_000, least_calls=4, silent_ms=4_000, tell_ms=100)
 names = st.sampled_from(sorted(ZONES))
-ends = st.sampled_from([End.STOOD, End.STOOD, End.LATE, End.FAILED])
+ends = st.sampled_from([CallOutcome.STOOD, CallOutcome.STOOD, CallOutcome.LATE, CallOutcome.FAILED])
 
 
 class Softswitch:
@@ -51,7 +51,7 @@
             return
         self.obeyed = head
         rollout = head.rollout
-        mark = stage_mark(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
+        mark = stage_id(rollout.id, rollout.stage) if rollout and rollout.goes_on else 0
         if mark != self.tally.stage:
             self.tally, self.began, self.told = Tally(("a",), mark, now, 1_000.0), now, 0
             self.heard = {}
@@ -97,11 +97,11 @@
             one.heard[other] = self.now
 
     @rule(name=names, ends=st.lists(ends, max_size=8))
-    def takes_calls(self, name: str, ends: list[End]) -> None:
+    def takes_calls(self, name: str, ends: list[CallOutcome]) -> None:
         one = self.fleet[name]
         version = one.obeyed.runs(name) if one.obeyed else EMPTY
         for end in ends:
-            one.tally.ended(version, one.tally.mark(self.now), 0, end, 10.0, self.now)
+            one.tally.record_end(version, one.tally.arrival_mark(self.now), 0, end, 10.0, self.now)
         if one.tally.stage:
             self.calls[one.tally.stage] = self.calls.get(one.tally.stage, 0) + len(ends)
 
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -12,11 +12,11 @@
 from pearloom import interface as api
 from pearloom.interface import ListKind, PoolEntry, PoolState, Route
 from pearloom.policy import Controller
-from pearloom.rules.check import MOST_CHOICES, Known, faults
+from pearloom.rules.check import MOST_CHOICES, KnownNames, find_errors
 from pearloom.rules.records import (
+    MAX_RULES,
     MOST_CAPS,
     MOST_NAMES,
-    MOST_RULES,
     Avoid,
     Cap,
     Effect,
@@ -31,18 +31,18 @@
     read_rules,
     version_of,
 )
-from pearloom.rules.table import FIRST, LAST, OTHERS, OWN, SPILL, LocalContext, Table
+from pearloom.rules.table import FIRST, LAST, OTHERS, OWN, SPILL, LocalContext, RoutingTable
 
 PLACE = LocalContext(
     ("open-form", "save-answers"), ("nour", "sahel"), "amsterdam",
     {"amsterdam": frozenset({0, 1}), "dublin": frozenset({2}), "lyon": frozenset({3})},
 )  # fmt: skip
-KNOWN = Known(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
+KNOWN = KnownNames(PLACE.classes, PLACE.tenants, ("amsterdam", "dublin", "lyon"), ((), (0, 1)))
 
 
-def table(*effects: Effect, match: Match | None = None) -> Table:
+def table(*effects: Effect, match: Match | None = None) -> RoutingTable:
     made = tuple(Rule(f"r{at}", effect, match or Match()) for at, effect in enumerate(effects))
-    return Table("v", RuleSet(rules=made), PLACE)
+    return RoutingTable("v", RuleSet(rules=made), PLACE)
 
 
 def test_no_rules_say_nothing() -> None:
@@ -54,12 +54,12 @@
 @pytest.mark.parametrize(
     ("effect", "route"),
     [
-        (Prefer((1,)), Route(tiers={1: FIRST}, tier=OTHERS)),
-        (Prefer(zones=("dublin",)), Route(tiers={2: FIRST}, tier=OTHERS)),
-        (Avoid((1,)), Route(tiers={1: LAST}, tier=OTHERS)),
-        (Only((1, 2)), Route(only=frozenset({1, 2}), tier=OTHERS)),
-        (Weigh(2.0, (1,)), Route(tier=OTHERS, weights={1: 2.0})),
-        (Spill(("dublin", "lyon")), Route(tiers={2: SPILL, 3: SPILL + 1}, tier=OTHERS)),
+        (Prefer((1,)), Route(tiers={1: FIRST}, default_tier=OTHERS)),
+        (Prefer(zones=("dublin",)), Route(tiers={2: FIRST}, default_tier=OTHERS)),
+        (Avoid((1,)), Route(tiers={1: LAST}, default_tier=OTHERS)),
+        (Only((1, 2)), Route(allowed_cells=frozenset({1, 2}), default_tier=OTHERS)),
+        (Weigh(2.0, (1,)), Route(default_tier=OTHERS, weights={1: 2.0})),
+        (Spill(("dublin", "lyon")), Route(tiers={2: SPILL, 3: SPILL + 1}, default_tier=OTHERS)),
     ],
 )
 def test_each_effect(effect: Effect, route: Route) -> None:
@@ -77,7 +77,11 @@
     both = table(Prefer((1,)), Avoid((1, 2)), Only((1, 2)), Only((2, 3)), Weigh(2.0, (1,)), Weigh(3.0, (1,)))
     route = both.route(0, -1, -1)
     assert route is not None
-    assert route.tiers == {1: FIRST, 2: LAST} and route.only == frozenset({2}) and route.weights == {1: 6.0}
+    assert (
+        route.tiers == {1: FIRST, 2: LAST}
+        and route.allowed_cells == frozenset({2})
+        and route.weights == {1: 6.0}
+    )
 
 
 def test_spill_keeps_a_call_at_its_own_first_choice() -> None:
@@ -125,22 +129,22 @@
         ([rule(Spill(()))], "$.rules[0].effect.zones: an order of at least one zone"),
         ([rule(Only((5,)))], "effect.cells: leave the class 'save-answers' no cell that it may use"),
         ([rule(Prefer(tuple(range(MOST_NAMES + 1))))], f"{MOST_NAMES} at most"),
-        ([rule(Prefer((1,)), f"r{at}") for at in range(MOST_RULES + 1)], f"{MOST_RULES} at most"),
+        ([rule(Prefer((1,)), f"r{at}") for at in range(MAX_RULES + 1)], f"{MAX_RULES} at most"),
         ([rule(Cap(0.5, (1,)), f"r{at}") for at in range(MOST_CAPS + 1)], f"{MOST_CAPS} at most"),
         ([rule(Prefer((1,)), f"r{at}", first_choice=tuple(range(60 * at, 60 * at + 60))) for at in range(5)],
          f"{MOST_CHOICES} at most"),
     ],
 )  # fmt: skip
 def test_each_fault_is_told_with_its_path(made: list[Rule], told: str) -> None:
-    found = faults(RuleSet(rules=tuple(made)), KNOWN)
+    found = find_errors(RuleSet(rules=tuple(made)), KNOWN)
     assert any(told in line for line in found), found
     assert all(line.startswith("$.rules") for line in found), "each line begins with its path"
 
 
 def test_all_faults_are_told_and_sound_rules_have_none() -> None:
     two = RuleSet(rules=(rule(Weigh(0.0, ()), "a b"), rule(Prefer((1,)), tenant=("nour",))))
-    assert len(faults(two, KNOWN)) == 3
-    assert faults(RuleSet(rules=(rule(Only((0, 5))),)), KNOWN) == []
+    assert len(find_errors(two, KNOWN)) == 3
+    assert find_errors(RuleSet(rules=(rule(Only((0, 5))),)), KNOWN) == []
 
 
 def test_a_version_is_its_rules_whatever_their_spelling() -> None:
@@ -188,7 +192,9 @@
                 assert states[cell] is PoolState.READY
                 assert not CLASSES[kind].cells or cell in CLASSES[kind].cells
                 if route is not None:
-                    assert cell not in route.closed and (route.only is None or cell in route.only)
+                    assert cell not in route.closed_cells and (
+                        route.allowed_cells is None or cell in route.allowed_cells
+                    )
 
 
 def ready(*states: PoolState) -> Controller:
@@ -214,17 +220,19 @@
 def test_tiers_go_before_the_first_choice_and_only_among_open_gates() -> None:
     three = [PoolState.READY] * 3
     assert sent(ready(*three), None, choice=1) == ["s-1"]
-    assert sent(ready(*three), Route(tiers={2: FIRST}, tier=OTHERS), choice=1) == ["s-2"]
+    assert sent(ready(*three), Route(tiers={2: FIRST}, default_tier=OTHERS), choice=1) == ["s-2"]
     assert sent(
-        ready(PoolState.READY, PoolState.READY, PoolState.DRAINING), Route(tiers={2: FIRST}, tier=OTHERS), 1
+        ready(PoolState.READY, PoolState.READY, PoolState.DRAINING),
+        Route(tiers={2: FIRST}, default_tier=OTHERS),
+        1,
     ) == ["s-1"]
-    assert sent(ready(*three), Route(tiers={1: LAST}, tier=OTHERS), choice=1) != ["s-1"]
+    assert sent(ready(*three), Route(tiers={1: LAST}, default_tier=OTHERS), choice=1) != ["s-1"]
 
 
 def test_a_call_that_rules_leave_nothing_is_refused_at_once() -> None:
     three = [PoolState.READY] * 3
-    assert sent(ready(*three), Route(only=frozenset({9}))) == ["refused"]
-    assert sent(ready(*three), Route(closed=frozenset({0, 1, 2}))) == ["refused"]
+    assert sent(ready(*three), Route(allowed_cells=frozenset({9}))) == ["refused"]
+    assert sent(ready(*three), Route(closed_cells=frozenset({0, 1, 2}))) == ["refused"]
 
 
 def test_a_held_call_that_its_rules_leave_little_holds_up_nobody_behind_it() -> None:
@@ -234,7 +242,7 @@
     for cell in (0, 1):
         for at in range(200):
             now, name = now + 10, f"{cell}{at:015x}"
-            route = Route(only=frozenset({cell}))
+            route = Route(allowed_cells=frozenset({cell}))
             found = controller.handle(now, api.CallArrived(name, 0, -1, 3_000_000, -1, route=route))
             went = [one for one in found if isinstance(one, api.SendSetUp)]
             assert all(one.server == f"s-{cell}" for one in went)
@@ -255,7 +263,7 @@
     controller = ready(PoolState.READY, PoolState.READY, PoolState.DRAINING)
     open_gates = controller.limits
     assert set(open_gates) == {"s-0", "s-1"} and min(open_gates.values()) > 0
-    sent(controller, Route(only=frozenset({0})))
+    sent(controller, Route(allowed_cells=frozenset({0})))
     lost = api.AttemptEnded(f"{0:016x}", 0, "s-0", api.Ending.UNREACHABLE, 1_000)
     controller.handle(2_000, lost)
     assert controller.limits["s-0"] == 0.0 and controller.limits["s-1"] > 0
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -7,11 +7,11 @@
 import pytest
 
 from pearloom import interface as api
+from pearloom.core.calls import NullCaller, SetUpAttempt, SetUpRequest
 from pearloom.core.clock import Clock
-from pearloom.core.counters import Counters, Figures
+from pearloom.core.counters import Counters, Metrics
 from pearloom.core.errors import Progress
 from pearloom.core.exchange import Exchange
-from pearloom.core.sides import NullCaller, Offer, SetUp
 from tests.helpers import entry, settings
 
 
@@ -28,7 +28,7 @@
 
     discovered = 1
 
-    def set_up(self, server: str, set_up: SetUp) -> None:
+    def set_up(self, server: str, set_up: SetUpAttempt) -> None:
         self.last = set_up
 
     def give_up(self, server: str, call: str) -> Progress | None:
@@ -40,14 +40,14 @@
     took_ms: float, late: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, counters, servers = _Clock(), Counters(), _Servers()
-    exchange = Exchange(clock, settings(), 7, counters, Figures(("a", "b")), 1.0, 64.0)
+    exchange = Exchange(clock, settings(), 7, counters, Metrics(("a", "b")), 1.0, 64.0)
     exchange.attach(None, servers)  # type: ignore[arg-type]  # no caller is told anything here
     exchange._tell(api.PoolList(api.ListKind.CACHED, (entry("s-00000001", 0),)))
     monkeypatch.setattr(logging.getLogger("pearloom"), "propagate", True)
     with caplog.at_level(logging.INFO, "pearloom"):
-        exchange.offered(Offer("c1", 0, "a", "1", b"x", 6_000.0, 0), NullCaller())
+        exchange.handle_set_up(SetUpRequest("c1", 0, "a", "1", b"x", 6_000.0, 0), NullCaller())
         clock.at_ms += took_ms
-        assert exchange.stands("c1", 0, b"y")
+        assert exchange.handle_answer("c1", 0, b"y")
     told = [record for record in caplog.records if record.getMessage() == "answer_late"]
     assert len(told) == late == counters.get("answers_late")
     if told:
