--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -54,7 +54,7 @@
     Guard("one that tells nothing halts", "rollout/steps.py", "if silent > most:", "if False:", (STEPS,)),
     Guard("the own cut is no lost store", "rollout/steps.py", "<= told + 1 for", "< 1e9 for", (STEPS,)),
     Guard("a former life confirms nothing", "rollout/confirm.py", " or said[name].incarnation != life", "", (STEPS,)),
-    Guard("a late beat is no sign of life", "membership/view.py", "facts.beat <= beat", "facts.beat == beat", (VIEW,)),
+    Guard("a late beat is no sign of life", "membership/view.py", "facts.beat <= last_beat", "facts.beat == last_beat", (VIEW,)),
     Guard("a newer format is not guessed at", "coordination/values.py", "record.format == expected_format", "True", (VIEW,)),
     Guard("a younger process of one name is seen", "membership/view.py", "facts is not None and facts.incarnation > incarnation", "False", (VIEW,)),
     Guard("what can't be read stops grants", "maintenance/order.py", "lambda: bool(slots.unreadable)", "lambda: False", (ORDER,)),
--- a/pearloom/membership/__init__.py
+++ b/pearloom/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet, as one softswitch sees it: pure, from what the store holds and the own clock."""
+"""The members of the fleet as one softswitch sees them, from the store's keys and the local clock."""
 
 from pearloom.membership.view import (
     MEMBERS_PREFIX,
--- a/pearloom/membership/host.py
+++ b/pearloom/membership/host.py
@@ -1,6 +1,7 @@
-"""Keeps this softswitch's own place in the fleet, and its view of the others. I/O by the link alone.
+"""Publishes this softswitch's heartbeat and keeps its view of the members. All I/O goes through the link.
 
-Guards against a process that is told of under its name by a younger one and goes on telling: it stops.
+Guards against two processes of one name that both publish: a process that sees a later incarnation of its
+name stops its heartbeats.
 """
 
 from __future__ import annotations
@@ -25,11 +26,13 @@
     update_view,
 )
 
-AGAIN_S = 0.2  # after a beat that was not written
+RETRY_S = 0.2  # after a heartbeat that was not written
 
 
 class MemberHost:
-    """This softswitch as a member; `load`: what each of its gates allows out, how many set-ups are out."""
+    """This softswitch as a member of the fleet.
+
+    `load` returns the limit of the gate to each server, and the number of set-ups that are outstanding."""
 
     def __init__(
         self,
@@ -38,39 +41,39 @@
         name: str,
         zone: str,
         incarnation: int,
-        beat_ms: float,
+        heartbeat_ms: float,
         load: Callable[[], tuple[Mapping[str, float], int]],
         now_ms: Callable[[], float],
     ) -> None:
-        """Not in the fleet before `start`."""
+        """Create the host; it joins the fleet in `start`."""
         self._link, self._counters, self.name = link, counters, name
-        self._beat_ms, self._load, self._now_ms = beat_ms, load, now_ms
+        self._heartbeat_ms, self._load, self._now_ms = heartbeat_ms, load, now_ms
         self._facts = MemberFacts(FORMAT, incarnation, zone, 0)
         self.view = View()
-        self._telling: gevent.Greenlet[..., None] | None = None
-        link.on_change.append(self._look)
+        self._heartbeats: gevent.Greenlet[..., None] | None = None
+        link.on_change.append(self._update_view)
 
     @property
     def incarnation(self) -> int:
-        """This life's number: a later one is higher."""
+        """The number of this process start; each later start has a higher one."""
         return self._facts.incarnation
 
     @property
-    def _period_ms(self) -> float:
-        return heartbeat_interval_ms(self._beat_ms, len(self.view.members))
+    def _interval_ms(self) -> float:
+        return heartbeat_interval_ms(self._heartbeat_ms, len(self.view.members))
 
     def start(self) -> None:
-        """Join, and tell of oneself from now on."""
-        self._telling = gevent.spawn(self._tell)
+        """Join the fleet and start the heartbeats."""
+        self._heartbeats = gevent.spawn(self._run_heartbeats)
 
-    def _look(self, snapshot: Snapshot) -> None:
+    def _update_view(self, snapshot: Snapshot) -> None:
         before = self.view
-        self.view = update_view(snapshot, before, self._now_ms(), self._period_ms)
+        self.view = update_view(snapshot, before, self._now_ms(), self._interval_ms)
         if self.view.revision == before.revision:
             return
-        known = {member.name: member.condition for member in before.members}
+        conditions = {member.name: member.condition for member in before.members}
         for member in self.view.members:
-            if known.get(member.name) is not member.condition:
+            if conditions.get(member.name) is not member.condition:
                 self._counters.add(f"member_{member.condition.value}")
                 log_event(
                     logging.INFO if member.is_live else logging.WARNING, "member", member=member.name,
@@ -78,19 +81,19 @@
                 )  # fmt: skip
 
     def refresh_view(self) -> None:
-        """The view by the own clock: one that tells nothing has stalled, though the store says nothing."""
+        """Update the view by the local clock: a member can stall without any change in the store."""
         if self._link.snapshot is not None:
-            self._look(self._link.snapshot)
+            self._update_view(self._link.snapshot)
 
-    def _tell(self) -> None:
+    def _run_heartbeats(self) -> None:
         while True:
             try:
-                gevent.sleep(self._period_ms / 1000.0 if self._beat() else AGAIN_S)
+                gevent.sleep(self._interval_ms / 1000.0 if self._send_heartbeat() else RETRY_S)
             except Exception:
                 log_exception("member_beat_failed")
-                gevent.sleep(AGAIN_S)
+                gevent.sleep(RETRY_S)
 
-    def _beat(self) -> bool:
+    def _send_heartbeat(self) -> bool:
         snapshot = self._link.snapshot
         if snapshot is None or not self._link.may_act():
             return False
@@ -101,21 +104,22 @@
         self._facts = next_facts(self._facts, *self._load())
         outcome = self._link.commit(publish_facts(snapshot, self.name, self._facts))
         if outcome is Outcome.LOST:
-            # Guards against a picture of the own key that no change will ever mend: nobody else writes it.
+            # Guards against a lasting wrong revision of this member's key: no other member writes it, so no
+            # change from the watch would correct the snapshot.
             self._link.read_again()
         return outcome is Outcome.WON
 
     def finish(self) -> None:
-        """This process ends: say so, so that nobody takes it for dead. It stays in the roster."""
-        if self._telling is not None:
-            self._telling.kill()
+        """Publish that this process is leaving, so that it does not count as failed; the roster keeps it."""
+        if self._heartbeats is not None:
+            self._heartbeats.kill()
         snapshot = self._link.snapshot
         if snapshot is not None and self._link.may_act():
             self._facts = next_facts(self._facts, {}, 0, leaving=True)
             self._link.commit(publish_facts(snapshot, self.name, self._facts))
 
     def remove(self, name: str) -> Outcome:
-        """An operator takes a softswitch that is away out of the roster: nobody misses it any more."""
+        """Remove a member that is away, on an operator's request, so that it no longer counts as missing."""
         snapshot = self._link.snapshot
-        attempt = remove_member(snapshot, name) if snapshot is not None else None
-        return Outcome.LOST if attempt is None else self._link.commit(attempt)
+        transaction = remove_member(snapshot, name) if snapshot is not None else None
+        return Outcome.LOST if transaction is None else self._link.commit(transaction)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet: each condition, incarnations, and values that nobody can read."""
+"""The members of the fleet: each condition, incarnations, and unreadable values."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 )
 from pearloom.membership.view import RosterEntry, heartbeat_interval_ms, is_superseded
 
-BEAT_MS = 1_000.0
+INTERVAL_MS = 1_000.0
 
 
 def snapshot(*entries: tuple[str, bytes]) -> Snapshot:
     return Snapshot(1, 9, tuple(Entry(key, value, 1, 5) for key, value in entries))
 
 
-def facts(beat: int = 1, incarnation: int = 1, leaving: bool = False, form: int = 1) -> bytes:
-    return msgspec.json.encode(MemberFacts(form, incarnation, "a", beat, leaving))
+def facts(beat: int = 1, incarnation: int = 1, leaving: bool = False, format_number: int = 1) -> bytes:
+    return msgspec.json.encode(MemberFacts(format_number, incarnation, "a", beat, leaving))
 
 
 def roster(incarnation: int = 1) -> tuple[str, bytes]:
     return ROSTER_PREFIX + "n1", msgspec.json.encode(RosterEntry(1, incarnation, "a"))
 
 
-def told(value: bytes) -> Snapshot:
+def published(value: bytes) -> Snapshot:
     return snapshot((MEMBERS_PREFIX + "n1", value), roster())
 
 
@@ -46,72 +46,77 @@
 
 
 @pytest.mark.parametrize(
-    ("there", "wanted"),
+    ("store", "expected"),
     [
-        (told(facts()), Condition.LIVE),
-        (told(facts(leaving=True)), Condition.LEAVING),
+        (published(facts()), Condition.LIVE),
+        (published(facts(leaving=True)), Condition.LEAVING),
         (snapshot(roster()), Condition.AWAY),
-        (told(facts(form=2)), Condition.UNREADABLE),
-        (told(b"spoilt"), Condition.UNREADABLE),
-        (told(b'{"format":1,"incarnation":1,"zone":"a","beat":1,"colour":"red"}'), Condition.UNREADABLE),
+        (published(facts(format_number=2)), Condition.UNREADABLE),
+        (published(b"spoilt"), Condition.UNREADABLE),
+        (published(b'{"format":1,"incarnation":1,"zone":"a","beat":1,"colour":"red"}'), Condition.UNREADABLE),
         (snapshot((MEMBERS_PREFIX + "n1", facts()), (ROSTER_PREFIX + "n1", b"?")), Condition.LIVE),
     ],
 )
-def test_each_condition(there: Snapshot, wanted: Condition) -> None:
-    view = update_view(there, View(), 0.0, BEAT_MS)
-    assert condition(view) is wanted
-    assert view.missing == (("n1",) if wanted in (Condition.AWAY, Condition.UNREADABLE) else ())
-    assert [one.name for one in view.live_members] == (["n1"] if wanted is Condition.LIVE else [])
+def test_each_condition(store: Snapshot, expected: Condition) -> None:
+    view = update_view(store, View(), 0.0, INTERVAL_MS)
+    assert condition(view) is expected
+    assert view.missing == (("n1",) if expected in (Condition.AWAY, Condition.UNREADABLE) else ())
+    assert [member.name for member in view.live_members] == (["n1"] if expected is Condition.LIVE else [])
 
 
-def test_one_that_tells_nothing_has_stalled_until_it_tells_again() -> None:
-    view = update_view(told(facts(1)), View(), 0.0, BEAT_MS)
-    view = update_view(told(facts(1)), view, 3_000.0, BEAT_MS)
+def test_a_member_without_heartbeats_is_stalled_until_the_next_heartbeat() -> None:
+    view = update_view(published(facts(1)), View(), 0.0, INTERVAL_MS)
+    view = update_view(published(facts(1)), view, 3_000.0, INTERVAL_MS)
     assert condition(view) is Condition.LIVE
-    view = update_view(told(facts(1)), view, 3_001.0, BEAT_MS)
+    view = update_view(published(facts(1)), view, 3_001.0, INTERVAL_MS)
     assert condition(view) is Condition.STALLED
-    older = update_view(told(facts(0)), view, 3_002.0, BEAT_MS)
-    assert condition(older) is Condition.STALLED, "a beat that was read late is no sign of life"
-    assert condition(update_view(told(facts(2)), older, 3_003.0, BEAT_MS)) is Condition.LIVE
-    assert condition(update_view(told(facts(0, incarnation=2)), older, 9_000.0, BEAT_MS)) is Condition.LIVE
-
-
-def test_the_view_s_number_grows_with_changes_alone() -> None:
-    view = update_view(told(facts(1)), View(), 0.0, BEAT_MS)
-    again = update_view(told(facts(2)), view, 10.0, BEAT_MS)
+    late = update_view(published(facts(0)), view, 3_002.0, INTERVAL_MS)
+    assert condition(late) is Condition.STALLED, "a heartbeat that was read late does not count"
+    assert condition(update_view(published(facts(2)), late, 3_003.0, INTERVAL_MS)) is Condition.LIVE
+    assert (
+        condition(update_view(published(facts(0, incarnation=2)), late, 9_000.0, INTERVAL_MS))
+        is Condition.LIVE
+    )
+
+
+def test_the_view_revision_grows_only_with_changes() -> None:
+    view = update_view(published(facts(1)), View(), 0.0, INTERVAL_MS)
+    again = update_view(published(facts(2)), view, 10.0, INTERVAL_MS)
     assert again.revision == view.revision == 1
-    assert update_view(told(facts(3, incarnation=2)), again, 20.0, BEAT_MS).revision == 2
+    assert update_view(published(facts(3, incarnation=2)), again, 20.0, INTERVAL_MS).revision == 2
 
 
-def test_joining_compares_with_what_was_read_and_leaving_takes_both_keys_out() -> None:
-    mine = MemberFacts(1, 2, "a", 7)
-    first = publish_facts(snapshot(), "n1", mine)
-    assert [(one.key, one.mod_revision) for one in first.compares] == [
+def test_publishing_compares_revisions_and_removal_deletes_both_keys() -> None:
+    own_facts = MemberFacts(1, 2, "a", 7)
+    first = publish_facts(snapshot(), "n1", own_facts)
+    assert [(compare.key, compare.mod_revision) for compare in first.compares] == [
         (MEMBERS_PREFIX + "n1", 0),
         (ROSTER_PREFIX + "n1", 0),
     ]
-    again = publish_facts(snapshot((MEMBERS_PREFIX + "n1", facts()), roster(2)), "n1", mine)
-    assert [(one.key, one.mod_revision) for one in again.compares] == [
+    again = publish_facts(snapshot((MEMBERS_PREFIX + "n1", facts()), roster(2)), "n1", own_facts)
+    assert [(compare.key, compare.mod_revision) for compare in again.compares] == [
         (MEMBERS_PREFIX + "n1", 5)
-    ], "the roster is as it was"
+    ], "the roster entry is unchanged"
     assert again.writes[0].lease
-    gone = remove_member(told(facts()), "n1")
-    assert gone is not None and {write.value for write in gone.writes} == {None}
+    removal = remove_member(published(facts()), "n1")
+    assert removal is not None and {write.value for write in removal.writes} == {None}
     assert remove_member(snapshot(), "n1") is None
 
 
-def test_a_younger_process_of_the_same_name_is_seen() -> None:
-    assert is_superseded(told(facts(incarnation=3)), "n1", 2)
-    assert not is_superseded(told(facts(incarnation=2)), "n1", 2)
-    assert not is_superseded(told(b"?"), "n1", 2)
+def test_a_later_incarnation_of_the_same_name_is_noticed() -> None:
+    assert is_superseded(published(facts(incarnation=3)), "n1", 2)
+    assert not is_superseded(published(facts(incarnation=2)), "n1", 2)
+    assert not is_superseded(published(b"?"), "n1", 2)
 
 
 @given(st.binary(max_size=200))
-def test_no_value_breaks_the_view(value: bytes) -> None:
-    update_view(snapshot((MEMBERS_PREFIX + "n1", value), (ROSTER_PREFIX + "n1", value)), View(), 0.0, BEAT_MS)
+def test_any_stored_value_yields_a_view(value: bytes) -> None:
+    update_view(
+        snapshot((MEMBERS_PREFIX + "n1", value), (ROSTER_PREFIX + "n1", value)), View(), 0.0, INTERVAL_MS
+    )
 
 
-def test_the_store_bears_the_same_number_of_beats_whatever_the_fleet() -> None:
+def test_the_heartbeat_rate_is_bounded_at_any_fleet_size() -> None:
     assert heartbeat_interval_ms(2_000.0, 16) == 2_000.0
-    for fleet in (200, 1_000):
-        assert fleet / heartbeat_interval_ms(2_000.0, fleet) * 1_000.0 <= 100.0
+    for fleet_size in (200, 1_000):
+        assert fleet_size / heartbeat_interval_ms(2_000.0, fleet_size) * 1_000.0 <= 100.0
