--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -1,6 +1,7 @@
-"""Machines taken out for work, one after another, in an order that the softswitches settle among themselves.
+"""Maintenance slots: which machine may be out of service next, as the softswitches agree through the store.
 
-Pure: from what the store holds and what one softswitch sees, the one next step and the reason of each wait.
+The decisions do no I/O: the next step, and the reason for which each slot waits, follow from the stored slots
+and one softswitch's view of the fleet. `host.py` runs them.
 """
 
 from pearloom.maintenance.order import Fleet, Machine, WaitReason, queue, wait_reasons
--- a/pearloom/maintenance/capacity.py
+++ b/pearloom/maintenance/capacity.py
@@ -1,8 +1,9 @@
-"""What each machine can carry, from what the gates of all softswitches allow. A decision: no I/O.
+"""Capacities of the machines, from the gate limits that the softswitches publish. No I/O.
 
-A server's capacity is the sum of what the softswitches' gates to it allow out at once; a softswitch's is the
-sum of its own gates. Whoever tells nothing of itself counts as the mean of its kind, and where nobody tells
-anything every machine counts as one. What is out now has to fit into what remains, however low the floor.
+A server's capacity is the sum of the limits of all softswitches' gates to it; a softswitch's is the sum of
+the limits of its own gates. A machine without published limits counts as the mean of its kind; if no limits
+are published at all, every machine counts as 1. The outstanding set-ups have to fit into the capacity that
+remains, however low the floor is set.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 
 
 def with_capacities(machines: Iterable[Machine], members: Iterable[Member]) -> tuple[Machine, ...]:
-    """The machines with the capacity that the members' gates give them."""
-    facts = {one.name: one.facts for one in members if one.facts is not None}
+    """The machines with the capacities that follow from the members' gate limits."""
+    facts = {member.name: member.facts for member in members if member.facts is not None}
     servers: dict[str, float] = {}
-    for told in facts.values():
-        for server, limit in told.limits.items():
+    for published in facts.values():
+        for server, limit in published.limits.items():
             servers[server] = servers.get(server, 0.0) + limit
     known = {
         MachineKind.SERVER: servers,
-        MachineKind.SOFTSWITCH: {name: sum(told.limits.values()) for name, told in facts.items()},
+        MachineKind.SOFTSWITCH: {name: sum(published.limits.values()) for name, published in facts.items()},
     }
-    return tuple(replace(one, capacity=_of(one, known[one.kind])) for one in machines)
+    return tuple(replace(machine, capacity=_capacity(machine, known[machine.kind])) for machine in machines)
 
 
-def _of(machine: Machine, known: Mapping[str, float]) -> float:
-    whole = sum(known.values())
-    if whole <= 0.0:
+def _capacity(machine: Machine, known: Mapping[str, float]) -> float:
+    total = sum(known.values())
+    if total <= 0.0:
         return 1.0
-    return known.get(machine.name, whole / len(known))
+    return known.get(machine.name, total / len(known))
 
 
 def outstanding_set_ups(members: Iterable[Member]) -> float:
-    """Set-ups that are out in the whole fleet."""
-    return float(sum(one.facts.outstanding for one in members if one.facts is not None))
+    """The number of unanswered set-ups in the whole fleet."""
+    return float(sum(member.facts.outstanding for member in members if member.facts is not None))
--- a/pearloom/maintenance/host.py
+++ b/pearloom/maintenance/host.py
@@ -1,7 +1,7 @@
-"""Runs the turns at one softswitch: tries the next step, drains on its own turn, withholds servers on theirs.
+"""Runs maintenance at one softswitch: tries the next step, drains in its slot, withholds servers in theirs.
 
-What to do is decided in `order.py` and `steps.py`. While the store is away what runs goes on as it last was:
-a withheld server stays withheld, a drained softswitch drained, and nothing new begins.
+The decisions are in `order.py` and `steps.py`. While the store is unreachable, the last state stays in force:
+a withheld server stays withheld, a drained softswitch stays drained, and no slot begins.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
 
-LOOK_S = 0.25  # between looks when nothing changed: phases end by time
-LOOK_FIRST_S = 0.02  # after a change: what came with it is taken in one look
+POLL_S = 0.25  # between checks without a change, as phases end by time
+COALESCE_S = 0.02  # after a change, so that changes that arrive together are handled in one check
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceCallbacks:
-    """What a turn does to this softswitch, and what it has to know of it."""
+    """What maintenance does at this softswitch, and what it needs to know of it."""
 
     drain: Callable[[], object]
     activate: Callable[[], object]
     is_idle: Callable[[], bool]
     withhold: Callable[[Iterable[str]], None]
     servers: Callable[[], Iterable[Server]]
-    halted: Callable[[], bool]  # has a rollout just halted?
+    halted: Callable[[], bool]  # whether a rollout has halted recently
 
 
 class MaintenanceHost:
-    """One softswitch's part in the turns of the fleet."""
+    """One softswitch's part in the maintenance of the fleet."""
 
     def __init__(
         self,
@@ -53,133 +53,133 @@
         member: MemberHost,
         counters: Counters,
         limits: Limits,
-        hands: MaintenanceCallbacks,
+        callbacks: MaintenanceCallbacks,
         now_ms: Callable[[], float],
     ) -> None:
-        """Takes no part before `start`."""
+        """Create the host; it takes part in maintenance from `start` on."""
         self._link, self._member, self._counters = link, member, counters
-        self._limits, self._hands, self._now_ms = limits, hands, now_ms
+        self._limits, self._callbacks, self._now_ms = limits, callbacks, now_ms
         self._seen_ms: dict[tuple[str, int], float] = {}
-        self._tried: dict[tuple[str, Phase | None], float] = {}
-        self._drains = False
-        self._wake = Event()
-        link.on_change.append(self._changed)
+        self._first_due_ms: dict[tuple[str, Phase | None], float] = {}
+        self._is_draining = False
+        self._wake_up = Event()
+        link.on_change.append(self._on_change)
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start taking part in maintenance."""
         gevent.spawn(self._run)
 
-    # --- what is there --------------------------------------------------------------------------------------
     @property
     def slots(self) -> Slots | None:
-        """As last read; None before the store was ever read."""
+        """The stored slots as last read; None before the first read."""
         snapshot = self._link.snapshot
         return None if snapshot is None else records.read_slots(snapshot)
 
     def fleet(self) -> Fleet:
-        """All machines as this softswitch sees them now."""
+        """The fleet as this softswitch sees it now."""
         view = self._member.view
         machines = [
             Machine(
                 MachineKind.SOFTSWITCH,
-                one.name,
-                one.zone,
+                member.name,
+                member.zone,
                 "",
-                one.condition is Condition.LIVE,
+                member.condition is Condition.LIVE,
                 1.0,
-                one.incarnation,
+                member.incarnation,
             )
-            for one in view.members
+            for member in view.members
         ]
         machines += [
             Machine(
-                MachineKind.SERVER, one.entry.server, one.zone, f"cell-{one.entry.cell}",
-                one.entry.state is PoolState.READY, 1.0, one.entry.started_us,
+                MachineKind.SERVER, server.entry.server, server.zone, f"cell-{server.entry.cell}",
+                server.entry.state is PoolState.READY, 1.0, server.entry.started_us,
             )
-            for one in self._hands.servers()
+            for server in self._callbacks.servers()
         ]  # fmt: skip
         slots = self.slots
         return Fleet(
             with_capacities(machines, view.members), self._link.is_fresh,
             zones_with_outage=frozenset() if slots is None else zones_with_outage(machines, slots),
-            has_recent_halt=self._hands.halted(), load=outstanding_set_ups(view.members),
+            has_recent_halt=self._callbacks.halted(), load=outstanding_set_ups(view.members),
         )  # fmt: skip
 
     def waiting(self) -> list[tuple[StoredSlot, WaitReason | None]]:
-        """The queue and what each waits for."""
+        """The queue with the reason for which each slot waits."""
         slots = self.slots
         return [] if slots is None else wait_reasons(slots, self.fleet())
 
     def read_again(self) -> None:
-        """Before an operator's step is computed again."""
+        """Read the store again, before an operator's step is computed anew."""
         self._link.read_again()
 
-    def commit(self, attempt: Transaction) -> Outcome:
-        """An operator's own step."""
-        return self._link.commit(attempt)
+    def commit(self, transaction: Transaction) -> Outcome:
+        """Try an operator's step."""
+        return self._link.commit(transaction)
 
-    # --- the loop -------------------------------------------------------------------------------------------
-    def _changed(self, snapshot: Snapshot) -> None:
+    def _on_change(self, snapshot: Snapshot) -> None:
         slots, now = records.read_slots(snapshot), self._now_ms()
-        there = {(held.slot.id, held.mod_revision) for held in slots.slots}
-        self._seen_ms = {key: self._seen_ms.get(key, now) for key in there}
-        self._follow(slots)
-        self._wake.set()
-
-    def _follow(self, slots: Slots) -> None:
-        """Do here what the turns say: withhold, drain, take up again."""
-        held = [one.slot for one in slots.slots if one.slot.phase in (Phase.DRAINING, Phase.OUT)]
-        self._hands.withhold(slot.machine for slot in held if slot.kind is MachineKind.SERVER)
-        me, life = self._member.name, self._member.incarnation
-        drains = any(
-            slot.kind is MachineKind.SOFTSWITCH and slot.machine == me and slot.grant == life
+        present = {(stored.slot.id, stored.mod_revision) for stored in slots.slots}
+        self._seen_ms = {key: self._seen_ms.get(key, now) for key in present}
+        self._apply_slots(slots)
+        self._wake_up.set()
+
+    def _apply_slots(self, slots: Slots) -> None:
+        """Withhold servers, drain or activate this softswitch as the slots say."""
+        active = [stored.slot for stored in slots.slots if stored.slot.phase in (Phase.DRAINING, Phase.OUT)]
+        self._callbacks.withhold(slot.machine for slot in active if slot.kind is MachineKind.SERVER)
+        name, incarnation = self._member.name, self._member.incarnation
+        is_draining = any(
+            slot.kind is MachineKind.SOFTSWITCH and slot.machine == name and slot.grant == incarnation
             and not slot.note.startswith(steps.DIED_PREFIX)
-            for slot in held
+            for slot in active
         )  # fmt: skip
-        if drains != self._drains:
-            self._drains = drains
-            log_event(logging.INFO, "maintenance_drains" if drains else "maintenance_over", softswitch=me)
-            (self._hands.drain if drains else self._hands.activate)()
+        if is_draining != self._is_draining:
+            self._is_draining = is_draining
+            log_event(
+                logging.INFO, "maintenance_drains" if is_draining else "maintenance_over", softswitch=name
+            )
+            (self._callbacks.drain if is_draining else self._callbacks.activate)()
 
     def _run(self) -> None:
         while True:
-            self._wake.wait(LOOK_S)
-            self._wake.clear()
-            gevent.sleep(LOOK_FIRST_S)
+            self._wake_up.wait(POLL_S)
+            self._wake_up.clear()
+            gevent.sleep(COALESCE_S)
             try:
                 self._member.refresh_view()
-                self._once()
+                self._try_next_step()
             except Exception:
                 log_exception("maintenance_failed")
 
-    def _once(self) -> None:
+    def _try_next_step(self) -> None:
         slots = self.slots
         if slots is None or not self._link.may_act() or not self._link.is_fresh:
             return
-        adopted = records.adopt_limits(slots, self._limits)
-        if adopted is not None:
-            self._link.commit(adopted)
+        adoption = records.adopt_limits(slots, self._limits)
+        if adoption is not None:
+            self._link.commit(adoption)
             return
-        idle = self._drains and self._hands.is_idle()
-        own = LocalSoftswitch(self._member.name, self._member.incarnation, idle, self._link.may_act())
-        step = steps.next_step(slots, self.fleet(), own, self._seen_ms, self._now_ms())
+        is_idle = self._is_draining and self._callbacks.is_idle()
+        local = LocalSoftswitch(self._member.name, self._member.incarnation, is_idle, self._link.may_act())
+        step = steps.next_step(slots, self.fleet(), local, self._seen_ms, self._now_ms())
         if step is None:
-            self._tried.clear()
-        elif self._is_time(step):
+            self._first_due_ms.clear()
+        elif self._is_due(step):
             self._try(step)
 
-    def _is_time(self, step: Step) -> bool:
-        """Own steps at once; those that anybody may do after the others before this one had their time."""
+    def _is_due(self, step: Step) -> bool:
+        """Whether to try a step now: at once for this softswitch's slot, else after its contention delay."""
         now, key = self._now_ms(), (step.slot, step.to)
-        first = self._tried.setdefault(key, now)
-        acting = [member.name for member in self._member.view.live_members]
-        mine = step.machine == self._member.name and step.to is not Phase.GRANTED
-        return mine or now - first >= contention_delay_ms(step.slot, self._member.name, acting)
+        first_due_ms = self._first_due_ms.setdefault(key, now)
+        live_names = [member.name for member in self._member.view.live_members]
+        is_own = step.machine == self._member.name and step.to is not Phase.GRANTED
+        return is_own or now - first_due_ms >= contention_delay_ms(step.slot, self._member.name, live_names)
 
     def _try(self, step: Step) -> None:
-        # Asked again directly before the deed: this process may have slept since the step was computed.
+        # Checked again directly before the commit: the process may have been suspended since the computation.
         outcome = self._link.commit(step.transaction) if self._link.may_act() else Outcome.LOST
-        self._tried.clear()
+        self._first_due_ms.clear()
         self._counters.add(f"maintenance_steps_{outcome.value}")
         if outcome is Outcome.WON:
             to = step.to.value if step.to else "deleted"
--- a/pearloom/maintenance/order.py
+++ b/pearloom/maintenance/order.py
@@ -1,15 +1,15 @@
-"""Whose turn is next, and why each other one waits. A decision: no I/O, everything it rests on passed in.
+"""Which waiting slot is granted next, and why each other slot waits. No I/O: all inputs are passed in.
 
-| what waits | goes before |
+| waiting slot | is granted before |
 | --- | --- |
-| an urgent turn | every turn that is not |
-| a turn in another zone than the last granted | one of that zone, of the same urgency |
-| the turn asked for first | the others of the same urgency and zone order |
-
-A turn that may not begin (limits, floor) holds up the others of its zone, not those of other zones: otherwise
-one machine that can't be spared would hold up all. None begins while any zone is in trouble (`outages.py`).
-An urgent one that may not begin holds up all that are not urgent, since each of them would take the room that
-it waits for.
+| an urgent slot | every slot that is not urgent |
+| a slot in another zone than the last granted one | one of that zone, of the same urgency |
+| the slot requested first | the others of the same urgency and zone order |
+
+A slot that may not begin (limits, floor) blocks the others of its zone, but not those of other zones:
+otherwise one machine that can't be spared would block the whole queue. No slot begins while any zone has an
+outage (`outages.py`). An urgent slot that may not begin blocks all that are not urgent, since each of them
+would take the room that it waits for.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class WaitReason(Enum):
-    """Why a turn does not begin."""
+    """Why a slot is not granted."""
 
     BEHIND = "behind another turn"
     STALE = "the store was not read lately"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One machine as this softswitch sees it. `capacity` in any unit that is one for all of its kind."""
+    """A machine as this softswitch sees it; `capacity` is in a unit common to all machines of its kind."""
 
     kind: MachineKind
     name: str
@@ -53,54 +53,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All that the order rests on beside the turns themselves."""
+    """State of the fleet on which the order depends, beside the slots."""
 
     machines: tuple[Machine, ...]
-    is_fresh: bool = True  # what was read of the store is young enough to begin something on
-    zones_with_outage: frozenset[str] = frozenset()  # zones
-    has_recent_halt: bool = False  # a rollout has just halted
-    load: float = 0.0  # set-ups that are out, in the unit of the capacities; 0 where those are of another
+    is_fresh: bool = True  # the store was read recently enough to begin something
+    zones_with_outage: frozenset[str] = frozenset()
+    has_recent_halt: bool = False  # a rollout has halted recently
+    load: float = 0.0  # unanswered set-ups, in the unit of the capacities; 0 if those have another unit
 
     def find(self, kind: MachineKind, name: str) -> Machine | None:
-        """The machine of this name."""
-        return next((one for one in self.machines if one.kind is kind and one.name == name), None)
+        """The machine of this kind and name, or None."""
+        return next(
+            (machine for machine in self.machines if machine.kind is kind and machine.name == name), None
+        )
 
 
 def machines_out(slots: Slots, fleet: Fleet) -> list[tuple[MachineKind, str, str, str]]:
-    """All machines that are out, on their turn or not: kind, name, zone, cell; each once."""
+    """Kind, name, zone and cell of each machine that is out, in a slot or not; each once."""
     found = {
-        (one.kind, one.name): (one.kind, one.name, one.zone, one.cell)
-        for one in fleet.machines
-        if not one.is_ready
+        (machine.kind, machine.name): (machine.kind, machine.name, machine.zone, machine.cell)
+        for machine in fleet.machines
+        if not machine.is_ready
     }
-    for held in slots.slots:
-        slot = held.slot
+    for stored in slots.slots:
+        slot = stored.slot
         if slot.is_out:
             found[slot.kind, slot.machine] = (slot.kind, slot.machine, slot.zone, slot.cell)
     return list(found.values())
 
 
-class _Room:
-    """What is out and what remains, counted once for all turns that wait."""
+class _Occupancy:
+    """Machines that are out and capacity that remains, counted once for all waiting slots."""
 
     def __init__(self, slots: Slots, fleet: Fleet) -> None:
-        self._limits, self._trouble, self._load = slots.limits, fleet.zones_with_outage, fleet.load
-        self._machines = {(one.kind, one.name): one for one in fleet.machines}
-        gone = machines_out(slots, fleet)
-        self._out = len(gone)
-        self._zones = Counter(zone for _, _, zone, _ in gone)
-        self._cells = Counter(cell for _, _, _, cell in gone)
-        names = {(kind, name) for kind, name, _, _ in gone}
-        self._whole, self._remains = (
+        self._limits, self._zones_with_outage, self._load = slots.limits, fleet.zones_with_outage, fleet.load
+        self._machines = {(machine.kind, machine.name): machine for machine in fleet.machines}
+        machines = machines_out(slots, fleet)
+        self._out = len(machines)
+        self._zones = Counter(zone for _, _, zone, _ in machines)
+        self._cells = Counter(cell for _, _, _, cell in machines)
+        names = {(kind, name) for kind, name, _, _ in machines}
+        self._total, self._remaining = (
             defaultdict[MachineKind, float](float),
             defaultdict[MachineKind, float](float),
         )
-        for one in fleet.machines:
-            self._whole[one.kind] += one.capacity
-            self._remains[one.kind] += 0.0 if (one.kind, one.name) in names else one.capacity
-
-    def forbids(self, slot: Slot) -> WaitReason | None:
-        """What forbids this turn to begin by itself, whoever else waits."""
+        for machine in fleet.machines:
+            self._total[machine.kind] += machine.capacity
+            self._remaining[machine.kind] += (
+                0.0 if (machine.kind, machine.name) in names else machine.capacity
+            )
+
+    def blocking_reason(self, slot: Slot) -> WaitReason | None:
+        """Why this slot may not begin, whatever other slots wait; None if it may."""
         limits, machine = self._limits, self._machines.get((slot.kind, slot.machine))
         if machine is None:
             return WaitReason.UNKNOWN
@@ -112,52 +116,52 @@
             return WaitReason.ZONE
         if slot.cell and self._cells[slot.cell] >= limits.out_cell:
             return WaitReason.CELL
-        if self._trouble:
+        if self._zones_with_outage:
             return WaitReason.ZONE_OUTAGE
-        remains = self._remains[slot.kind] - machine.capacity
-        # What is out now has to fit as well, however low the floor is set.
-        if remains < max(limits.floor * self._whole[slot.kind], self._load):
+        remaining = self._remaining[slot.kind] - machine.capacity
+        # The outstanding set-ups have to fit as well, however low the floor is set.
+        if remaining < max(limits.floor * self._total[slot.kind], self._load):
             return WaitReason.FLOOR
         return None
 
 
 def queue(slots: Slots) -> list[StoredSlot]:
-    """Those that wait, in the order in which they are looked at."""
-    last = slots.ledger.last_zone
+    """The waiting slots, in the order in which they are considered."""
+    last_zone = slots.ledger.last_zone
 
-    def place(held: StoredSlot) -> tuple[bool, bool, int, str]:
-        slot = held.slot
-        return not slot.urgent, bool(last) and slot.zone == last, slot.number, slot.id
+    def sort_key(stored: StoredSlot) -> tuple[bool, bool, int, str]:
+        slot = stored.slot
+        return not slot.urgent, bool(last_zone) and slot.zone == last_zone, slot.number, slot.id
 
-    return sorted((held for held in slots.slots if held.slot.phase is Phase.WAITING), key=place)
+    return sorted((stored for stored in slots.slots if stored.slot.phase is Phase.WAITING), key=sort_key)
 
 
 def wait_reasons(slots: Slots, fleet: Fleet) -> list[tuple[StoredSlot, WaitReason | None]]:
-    """The queue, and what each waits for; None: this one is next, and there is one such at most."""
-    found: list[tuple[StoredSlot, WaitReason | None]] = []
-    every, room = _everything(slots, fleet), _Room(slots, fleet)
-    held_up: set[str] = set()
-    urgent_waits = granted = False
-    for held in queue(slots):
-        reason = every or room.forbids(held.slot)
+    """The queue with the reason for which each slot waits; None: the slot is next, one at most."""
+    reasons: list[tuple[StoredSlot, WaitReason | None]] = []
+    common_reason, occupancy = _common_reason(slots, fleet), _Occupancy(slots, fleet)
+    blocked_zones: set[str] = set()
+    is_urgent_waiting = has_next = False
+    for stored in queue(slots):
+        reason = common_reason or occupancy.blocking_reason(stored.slot)
         if reason is None and (
-            granted or held.slot.zone in held_up or (urgent_waits and not held.slot.urgent)
+            has_next or stored.slot.zone in blocked_zones or (is_urgent_waiting and not stored.slot.urgent)
         ):
             reason = WaitReason.BEHIND
         if reason is None:
-            granted = True
+            has_next = True
         elif reason not in (WaitReason.UNKNOWN, WaitReason.AWAY):
-            held_up.add(held.slot.zone)
-            urgent_waits |= held.slot.urgent
-        found.append((held, reason))
-    return found
+            blocked_zones.add(stored.slot.zone)
+            is_urgent_waiting |= stored.slot.urgent
+        reasons.append((stored, reason))
+    return reasons
 
 
-def _everything(slots: Slots, fleet: Fleet) -> WaitReason | None:
-    """What forbids every turn to begin."""
+def _common_reason(slots: Slots, fleet: Fleet) -> WaitReason | None:
+    """Why no slot at all may begin; None if slots may."""
     checks: Sequence[tuple[Callable[[], bool], WaitReason]] = (
         (lambda: not fleet.is_fresh, WaitReason.STALE),
         (lambda: bool(slots.unreadable), WaitReason.UNREADABLE),
         (lambda: fleet.has_recent_halt, WaitReason.HALTED),
     )
-    return next((wait for holds, wait in checks if holds()), None)
+    return next((reason for applies, reason in checks if applies()), None)
--- a/pearloom/maintenance/settings.py
+++ b/pearloom/maintenance/settings.py
@@ -1,4 +1,4 @@
-"""The record `turns` of the operator's file: how much may be out at once, how long each phase may take."""
+"""The record `turns` of the operator's file: limits and times of maintenance, zone and heartbeat period."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceSettings:
-    """What the operator says of turns."""
+    """Maintenance settings of one softswitch."""
 
-    zone: str = ""  # this softswitch's own
-    heartbeat_ms: float = 2_000.0  # how often it tells of itself
+    zone: str = ""  # of this softswitch
+    heartbeat_ms: float = 2_000.0  # period of its heartbeats
     limits: Limits = field(default_factory=Limits)
 
 
 def read_maintenance_settings(fields: Fields) -> MaintenanceSettings:
-    """The record `turns`; a RecordError says what is wrong and where."""
-    base = Limits()
-    count = fields.number
+    """Read the record `turns`; raises RecordError with the field and the reason."""
+    defaults = Limits()
+    number = fields.number
     limits = Limits(
         FORMAT,
-        edition=int(count("edition", 1, 1, 1_000_000, whole=True)),
-        out=int(count("out", base.out, 0, 1_000, whole=True)),
-        out_zone=int(count("out_zone", base.out_zone, 0, 1_000, whole=True)),
-        out_cell=int(count("out_cell", base.out_cell, 0, 1_000, whole=True)),
-        floor=float(count("floor", base.floor, 0, 1)),
-        take_up_ms=float(count("take_up_ms", base.take_up_ms, 1_000, 600_000)),
-        drain_ms=float(count("drain_ms", base.drain_ms, 1_000, 3_600_000)),
-        settle_ms=float(count("settle_ms", base.settle_ms, 0, 600_000)),
+        edition=int(number("edition", 1, 1, 1_000_000, whole=True)),
+        out=int(number("out", defaults.out, 0, 1_000, whole=True)),
+        out_zone=int(number("out_zone", defaults.out_zone, 0, 1_000, whole=True)),
+        out_cell=int(number("out_cell", defaults.out_cell, 0, 1_000, whole=True)),
+        floor=float(number("floor", defaults.floor, 0, 1)),
+        take_up_ms=float(number("take_up_ms", defaults.take_up_ms, 1_000, 600_000)),
+        drain_ms=float(number("drain_ms", defaults.drain_ms, 1_000, 3_600_000)),
+        settle_ms=float(number("settle_ms", defaults.settle_ms, 0, 600_000)),
     )
     return MaintenanceSettings(
         zone=fields.text("zone", "", _ZONE, "a zone's name"),
-        heartbeat_ms=float(count("beat_ms", 2_000, 200, 60_000)),
+        heartbeat_ms=float(number("beat_ms", 2_000, 200, 60_000)),
         limits=limits,
     )
