--- a/pearloom/maintenance/records.py
+++ b/pearloom/maintenance/records.py
@@ -36,7 +36,7 @@
     """Phase of a slot; in all phases but WAITING and DONE its machine counts as out of service."""
 
     WAITING = "waiting"
-    GRANTED = "granted"  # the machine has not started its drain
+    GRANTED = "granted"  # the drain has not started yet
     DRAINING = "draining"
     OUT = "out"
     RETURNING = "returning"  # the machine is ready again and gets time to warm up
--- a/pearloom/membership/view.py
+++ b/pearloom/membership/view.py
@@ -36,7 +36,7 @@
 
 
 class MemberFacts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The facts that a softswitch publishes of itself; `beat` only grows within an incarnation."""
+    """The facts that a softswitch publishes of itself; `beat` counts the heartbeats of an incarnation."""
 
     format: int
     incarnation: int
@@ -153,7 +153,7 @@
         before is not None and before.facts is not None and before.incarnation == facts.incarnation
     )
     last_beat = before.facts.beat if before is not None and before.facts is not None else -1
-    # A heartbeat that goes back within one incarnation was read late and does not show that it is alive.
+    # A count that goes back within one incarnation was read late and does not show that the member is alive.
     since = (
         before.last_change_ms
         if before is not None and is_same_incarnation and facts.beat <= last_beat
--- a/tests/maintenance/test_order.py
+++ b/tests/maintenance/test_order.py
@@ -129,7 +129,7 @@
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.5)), ONE_AWAY, [WaitReason.FLOOR]),
         (slots(slot(1), limits=Limits(out=9, out_zone=9, floor=0.33)), ONE_AWAY, [None]),
         (slots(slot(1)), Fleet(FLEET.machines, zones_with_outage=frozenset({"a"})), [WaitReason.ZONE_OUTAGE]),
-        # Another one's.
+        # An outage of another zone blocks as well.
         (
             slots(slot(1)),
             Fleet(FLEET.machines, zones_with_outage=frozenset({"b"})),
