--- a/tests/coordination/test_link.py
+++ b/tests/coordination/test_link.py
@@ -163,7 +163,7 @@
     [
         (_snapshot(9, Entry("k", b"mine", 5, 8)), True),
         (_snapshot(9, Entry("k", b"old", 5, 5)), False),  # unchanged: the write never arrived
-        (_snapshot(9, Entry("k", b"theirs", 5, 8)), None),  # the own value may have been overwritten
+        (_snapshot(9, Entry("k", b"theirs", 5, 8)), None),  # the write may have been overwritten
         (_snapshot(9), None),
         (_snapshot(9, Entry("k", b"mine", 3, 5)), False),  # the same value, but of an earlier write
     ],
