--- a/pearloom/maintenance/__init__.py
+++ b/pearloom/maintenance/__init__.py
@@ -1,9 +1,10 @@
-"""Machines taken out for work, one after another, in an order that the softswitches settle among themselves.
+"""Maintenance slots: which machine may be out of service next, as the softswitches agree through the store.
 
-Pure: from what the store holds and what one softswitch sees, the one next step and the reason of each wait.
+The decisions do no I/O: the next step, and the reason for which each slot waits, follow from the stored slots
+and one softswitch's view of the fleet. `host.py` runs them.
 """
 
-from pearloom.maintenance.order import Fleet, Machine, Wait, queue, waits
+from pearloom.maintenance.order import Fleet, Machine, WaitReason, queue, wait_reasons
 from pearloom.maintenance.records import (
     Limits,
     MachineKind,
@@ -16,6 +17,6 @@
 from pearloom.maintenance.steps import Step, cancel, mark_returned, next_step
 
 __all__ = [
-    "Fleet", "Limits", "Machine", "MachineKind", "MaintenanceError", "Phase", "Slot", "Step", "Wait",
-    "cancel", "mark_returned", "next_step", "queue", "read_slots", "request_slots", "waits",
+    "Fleet", "Limits", "Machine", "MachineKind", "MaintenanceError", "Phase", "Slot", "Step", "WaitReason",
+    "cancel", "mark_returned", "next_step", "queue", "read_slots", "request_slots", "wait_reasons",
 ]  # fmt: skip
