--- a/pearloom/rules/host.py
+++ b/pearloom/rules/host.py
@@ -68,10 +68,10 @@
         )
 
     def record_outcome(
-        self, route: CallRoute, class_index: int, outcome: CallOutcome, duration_ms: float
+        self, call_route: CallRoute, class_index: int, outcome: CallOutcome, took_ms: float
     ) -> None:
-        """Record an outcome of a call that arrived under the version `route.version`."""
-        self.on_outcome(route.version, route.mark, class_index, outcome, duration_ms)
+        """Record an outcome of a call with this route; `took_ms` counts from the call's arrival."""
+        self.on_outcome(call_route.version, call_route.mark, class_index, outcome, took_ms)
 
     @property
     def version(self) -> str:
--- a/tests/rules/test_table.py
+++ b/tests/rules/test_table.py
@@ -144,9 +144,10 @@
         ([rule(Spill(()))], "$.rules[0].effect.zones: has to list at least one zone"),
         ([rule(Only((5,)))], "effect.cells: leave the class 'save-answers' no cell that it may use"),
         ([rule(Prefer(tuple(range(MAX_NAMES + 1))))], f"{MAX_NAMES} at most"),
-        ([rule(Prefer((1,)), f"r{at}") for at in range(MAX_RULES + 1)], f"{MAX_RULES} at most"),
-        ([rule(Cap(0.5, (1,)), f"r{at}") for at in range(MAX_CAPS + 1)], f"{MAX_CAPS} at most"),
-        ([rule(Prefer((1,)), f"r{at}", first_choice=tuple(range(60 * at, 60 * at + 60))) for at in range(5)],
+        ([rule(Prefer((1,)), f"r{index}") for index in range(MAX_RULES + 1)], f"{MAX_RULES} at most"),
+        ([rule(Cap(0.5, (1,)), f"r{index}") for index in range(MAX_CAPS + 1)], f"{MAX_CAPS} at most"),
+        ([rule(Prefer((1,)), f"r{index}", first_choice=tuple(range(60 * index, 60 * index + 60)))
+          for index in range(5)],
          f"{MAX_FIRST_CHOICES} at most"),
     ],
 )  # fmt: skip
