--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -31,8 +31,8 @@
 from pearloom.servers.discovery import PoolView
 
 if TYPE_CHECKING:
+    from pearloom.admin.fleet import Together
     from pearloom.admin.management import Routes
-    from pearloom.admin.together import Together
     from pearloom.maintenance.settings import MaintenanceSettings
     from pearloom.rules.settings import RulesSettings
 
@@ -113,7 +113,7 @@
         if self.store is None:
             return {}
         # Loaded only here: the store's client is none of the softswitch's own libraries.
-        from pearloom.admin.together import Together
+        from pearloom.admin.fleet import Together
         from pearloom.maintenance.settings import MaintenanceSettings
         from pearloom.rules.settings import RulesSettings
 
