--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -9,10 +9,10 @@
 
 import gevent
 
+from pearloom.admin.maintenance import Work
 from pearloom.admin.management import MOST_BYTES, Routes
 from pearloom.admin.members import Members
 from pearloom.admin.rules import MOST_RULES_BYTES, Rules
-from pearloom.admin.work import Work
 from pearloom.coordination import Link, StoreSettings
 from pearloom.coordination.etcd import EtcdStore
 from pearloom.coordination.link import steady_ms
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -246,7 +246,7 @@
         " ('lark', 'cyclopts', 'rich', 'etcd3gw', 'requests', 'msgspec')"
         " or name.startswith(('pearloom.iax2', 'pearloom.records', 'pearloom.installation',"
         " 'pearloom.fakes', 'pearloom.commands', 'pearloom.coordination', 'pearloom.membership',"
-        " 'pearloom.maintenance', 'pearloom.admin.fleet', 'pearloom.admin.work',"
+        " 'pearloom.maintenance', 'pearloom.admin.fleet', 'pearloom.admin.maintenance',"
         " 'pearloom.admin.members'))])"
     )
     environment = {key: value for key, value in os.environ.items() if key != "PEARLOOM_FILE"}
