--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pearloom.admin.management import Answer, Ask, Routes
-from pearloom.admin.writing import away, bad, write
+from pearloom.admin.store_writes import away, bad, write
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from pearloom.admin.management import Answer, Ask, Routes
-from pearloom.admin.writing import away, bad, conflict, write
+from pearloom.admin.store_writes import away, bad, conflict, write
 from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
