--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -16,7 +16,7 @@
 from gevent.event import Event
 
 from pearloom import interface as api
-from pearloom.admin.handover import Handover, Legacy, ask, path_of
+from pearloom.admin.handover import Handover, Legacy, path_of, request_handover
 from pearloom.admin.management import MOST_BYTES, Answer, Management, Routes, most_calls
 from pearloom.binary.callers import Callers
 from pearloom.core.calls import CallerSide
@@ -236,7 +236,7 @@
     try:
         config = read_config(os.environ)
         folder = os.environ.get("TMPDIR", "")
-        legacy = ask(path_of(config, folder)) if folder else None
+        legacy = request_handover(path_of(config, folder)) if folder else None
         if legacy is not None:
             config = legacy.renew(config)
         softswitch = Softswitch(config, Clock(), read_installation(os.environ, config))
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -98,7 +98,7 @@
         return replace(config, known=(self.listed,), known_index=self.listed.index)
 
 
-def ask(path: Path) -> Legacy | None:
+def request_handover(path: Path) -> Legacy | None:
     """Ask the process that serves now for its socket; None where there is none, or none that answers."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     sock.settimeout(PATIENCE_S)
--- a/tests/player.py
+++ b/tests/player.py
@@ -27,7 +27,7 @@
 from gevent import socket
 
 from pearloom.__main__ import Softswitch
-from pearloom.admin.handover import ask
+from pearloom.admin.handover import request_handover
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, read_config
 from pearloom.installation import Installation
@@ -234,7 +234,7 @@
 
     def upgrade(self) -> None:
         """A second softswitch takes over; in a test both are in one process."""
-        legacy = ask(self.handover)
+        legacy = request_handover(self.handover)
         assert legacy is not None, "no handover"
         config = legacy.renew(self.config(self.folder, self.known))
         self.elders.append(self.softswitch)
--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -247,7 +247,7 @@
         told = Server(PoolEntry("s-00000009", 4, PoolState.READY), ("127.0.0.1", 1), "east")
         scene.softswitch.exchange.handle_pool_list(ListKind.CHANGES, [told])
         scene.softswitch.handover.listen(path)
-        legacy = handover.ask(path)
+        legacy = handover.request_handover(path)
         assert legacy is not None
         assert {one.entry.server: one.zone for one in legacy.listed.servers}["s-00000009"] == "east"
     finally:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from pearloom.admin.handover import ask
+from pearloom.admin.handover import request_handover
 from pearloom.fakes.stage import free_port
 
 # `ended` is the autouse fixture that ends what a test started, also when it fails.
@@ -45,7 +45,7 @@
     path = tmp_path / "pearloom-127.0.0.1-5060.sock"
     leave(path)
     begun = time.monotonic()
-    assert ask(path) is None
+    assert request_handover(path) is None
     assert time.monotonic() - begun < PLAIN_START_S
 
 
