--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -89,13 +89,13 @@
     listener: socket.socket
     drained: bool
     known: str  # which list of the configuration the numbers count from
-    listed: ListUpdate
+    pool_list: ListUpdate
 
     def renew(self, config: Config) -> Config:
         """The configuration with the elder's list, where its number means the same to this process."""
-        if self.known != config.known_digest or self.listed.index < config.known_index:
+        if self.known != config.known_digest or self.pool_list.index < config.known_index:
             return config
-        return replace(config, known=(self.listed,), known_index=self.listed.index)
+        return replace(config, known=(self.pool_list,), known_index=self.pool_list.index)
 
 
 def request_handover(path: Path) -> Legacy | None:
--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -249,7 +249,7 @@
         scene.softswitch.handover.listen(path)
         legacy = handover.request_handover(path)
         assert legacy is not None
-        assert {one.entry.server: one.zone for one in legacy.listed.servers}["s-00000009"] == "east"
+        assert {one.entry.server: one.zone for one in legacy.pool_list.servers}["s-00000009"] == "east"
     finally:
         scene.close()
 
