--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -238,7 +238,7 @@
         folder = os.environ.get("TMPDIR", "")
         legacy = request_handover(path_of(config, folder)) if folder else None
         if legacy is not None:
-            config = legacy.renew(config)
+            config = legacy.update_config(config)
         softswitch = Softswitch(config, Clock(), read_installation(os.environ, config))
         stop = Event()
         gevent.signal_handler(signal.SIGTERM, stop.set)
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -91,7 +91,7 @@
     known: str  # which list of the configuration the numbers count from
     pool_list: ListUpdate
 
-    def renew(self, config: Config) -> Config:
+    def update_config(self, config: Config) -> Config:
         """The configuration with the elder's list, where its number means the same to this process."""
         if self.known != config.known_digest or self.pool_list.index < config.known_index:
             return config
--- a/tests/player.py
+++ b/tests/player.py
@@ -236,7 +236,7 @@
         """A second softswitch takes over; in a test both are in one process."""
         legacy = request_handover(self.handover)
         assert legacy is not None, "no handover"
-        config = legacy.renew(self.config(self.folder, self.known))
+        config = legacy.update_config(self.config(self.folder, self.known))
         self.elders.append(self.softswitch)
         self.softswitch = Softswitch(config, self.clock)
         self.softswitch.start(config, legacy, "")
