--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -16,7 +16,7 @@
 from gevent.event import Event
 
 from pearloom import interface as api
-from pearloom.admin.handover import Handover, Legacy, path_of, request_handover
+from pearloom.admin.handover import Handover, InheritedState, path_of, request_handover
 from pearloom.admin.management import MOST_BYTES, Answer, Management, Routes, most_calls
 from pearloom.binary.callers import Callers
 from pearloom.core.calls import CallerSide
@@ -102,7 +102,7 @@
         self.callers.forward_release = self.handover.release
         self.serves = False
 
-    def start(self, config: Config, legacy: Legacy | None, folder: str) -> None:
+    def start(self, config: Config, legacy: InheritedState | None, folder: str) -> None:
         """Take calls from now on; after a process that still runs, only once they can be served."""
         if config.management is not None:
             self.management.listen(config.management)
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Legacy:
+class InheritedState:
     """What the younger has from the elder at its start."""
 
     channel: Channel
@@ -98,7 +98,7 @@
         return replace(config, known=(self.pool_list,), known_index=self.pool_list.index)
 
 
-def request_handover(path: Path) -> Legacy | None:
+def request_handover(path: Path) -> InheritedState | None:
     """Ask the process that serves now for its socket; None where there is none, or none that answers."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     sock.settimeout(PATIENCE_S)
@@ -119,7 +119,7 @@
             for name, cell, state, started_us, host, port in first["servers"]
         )
         listed = ListUpdate(first["index"], True, servers)
-        return Legacy(channel, listener, first["drained"], first["known"], listed)
+        return InheritedState(channel, listener, first["drained"], first["known"], listed)
     except (FileNotFoundError, ConnectionRefusedError):
         pass  # nobody serves this address, or the one that did is gone: a plain start
     except (OSError, ValueError, KeyError, TypeError) as trouble:
@@ -192,7 +192,7 @@
             self._listener.close()
             self._accepting = None
 
-    def inherit(self, legacy: Legacy) -> None:
+    def inherit(self, legacy: InheritedState) -> None:
         """Follow the elder from now on."""
         self._elder = _Other(legacy.channel)
         if legacy.drained:
