--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -100,7 +100,7 @@
             config.known_digest, self.exchange, self.callers, self.servers, self.coordinator
         )
         self.callers.forward_release = self.handover.release
-        self.serves = False
+        self.is_serving = False
 
     def start(self, config: Config, legacy: InheritedState | None, folder: str) -> None:
         """Take calls from now on; after a process that still runs, only once they can be served."""
@@ -120,7 +120,7 @@
             self.handover.take()
         if self._installation is not None:
             self._installation.start()
-        self.serves = True
+        self.is_serving = True
         if folder:
             self.handover.listen(path_of(config, folder))
 
@@ -149,7 +149,7 @@
     def _readiness(self) -> Answer:
         """Can this process serve? A drained one can: what it wants is for the front to ask, at the callers'
         address. One that another has taken over from, or that is to end, takes nobody new."""
-        ready = self.serves and not self.callers.stopping and not self.callers.yielded
+        ready = self.is_serving and not self.callers.stopping and not self.callers.yielded
         return Answer(HTTPStatus.OK, "ready\n") if ready else Answer(HTTPStatus.SERVICE_UNAVAILABLE)
 
     def drain(self) -> Answer:
--- a/tests/player.py
+++ b/tests/player.py
@@ -119,7 +119,7 @@
             self.front = installation.front.listen(("127.0.0.1", 0))
         self.address = self.softswitch.callers.listen(("127.0.0.1", 0))
         self.operated = self.softswitch.management.listen(("127.0.0.1", 0))
-        self.softswitch.serves = True
+        self.softswitch.is_serving = True
         self.elders: list[Softswitch] = []
         self.handover = folder / "handover.sock"
         self.softswitch.handover.listen(self.handover)
