--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -66,7 +66,7 @@
             self.store: StoreSettings | None = fields.read("store", read_store)
             self.turns = fields.read("turns", _read_turns)
             self.rules = fields.read("rules", _read_rules)
-            fields.done()
+            fields.reject_unknown()
         except RecordError as trouble:
             raise ConfigError(str(trouble)) from None
         except (OSError, UnicodeDecodeError) as trouble:
--- a/pearloom/records/check.py
+++ b/pearloom/records/check.py
@@ -106,10 +106,10 @@
         if inner is None:
             return None
         found = reader(inner)
-        inner.done()
+        inner.reject_unknown()
         return found
 
-    def done(self) -> None:
+    def reject_unknown(self) -> None:
         """Refuse what nobody asked for.
 
         Guards against a field that is spelt wrong and silently has no effect."""
--- a/tests/rules/test_snapshots.py
+++ b/tests/rules/test_snapshots.py
@@ -65,7 +65,7 @@
 def read(text: str) -> RulesSettings:
     fields = Fields(parse(text, "file"), "file")
     found = read_rules_settings(fields)
-    fields.done()
+    fields.reject_unknown()
     return found
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -108,7 +108,7 @@
     assert turns is not None and (turns.limits.out, turns.limits.floor) == (2, 0.75)
     rules = fields.read("rules", read_rules_settings)
     assert rules is not None and rules.rollout.stages == (0.0, 0.1, 0.5)
-    fields.done()
+    fields.reject_unknown()
 
 
 @pytest.mark.parametrize(
