--- a/pearloom/coordination/settings.py
+++ b/pearloom/coordination/settings.py
@@ -33,7 +33,7 @@
         raise fields.error("at", "has to name at least one address of the store")
     prefix = fields.text("prefix", "/pearloom/", _PREFIX, "a path that begins and ends with a slash")
     timeout_ms = fields.number("timeout_ms", 1_000, 50, 10_000)
-    lease_s = int(fields.number("lease_s", 5, 2, 600, whole=True))
+    lease_s = int(fields.number("lease_s", 5, 2, 600, is_integer=True))
     if timeout_ms * 2 > lease_s * 1000:
         # Guards against a lease that ends while its own renewal still waits for an answer.
         raise fields.error("timeout_ms", f"has to be at most half of lease_s ({lease_s} s)")
--- a/pearloom/iax2/settings.py
+++ b/pearloom/iax2/settings.py
@@ -35,9 +35,11 @@
     """The record `limits`."""
     base = Limits()
     return Limits(
-        legs=int(fields.number("legs", base.legs, 1, 30_000, whole=True)),
-        legs_per_source=int(fields.number("legs_per_source", base.legs_per_source, 1, 30_000, whole=True)),
-        half_open=int(fields.number("half_open", base.half_open, 1, 30_000, whole=True)),
+        legs=int(fields.number("legs", base.legs, 1, 30_000, is_integer=True)),
+        legs_per_source=int(
+            fields.number("legs_per_source", base.legs_per_source, 1, 30_000, is_integer=True)
+        ),
+        half_open=int(fields.number("half_open", base.half_open, 1, 30_000, is_integer=True)),
         half_open_ms=float(fields.number("half_open_ms", base.half_open_ms, 100, 60_000)),
         tokens_per_s=float(fields.number("tokens_per_s", base.tokens_per_s, 1, 100_000)),
     )
--- a/pearloom/maintenance/settings.py
+++ b/pearloom/maintenance/settings.py
@@ -25,10 +25,10 @@
     count = fields.number
     limits = Limits(
         FORMAT,
-        edition=int(count("edition", 1, 1, 1_000_000, whole=True)),
-        out=int(count("out", base.out, 0, 1_000, whole=True)),
-        out_zone=int(count("out_zone", base.out_zone, 0, 1_000, whole=True)),
-        out_cell=int(count("out_cell", base.out_cell, 0, 1_000, whole=True)),
+        edition=int(count("edition", 1, 1, 1_000_000, is_integer=True)),
+        out=int(count("out", base.out, 0, 1_000, is_integer=True)),
+        out_zone=int(count("out_zone", base.out_zone, 0, 1_000, is_integer=True)),
+        out_cell=int(count("out_cell", base.out_cell, 0, 1_000, is_integer=True)),
         floor=float(count("floor", base.floor, 0, 1)),
         take_up_ms=float(count("take_up_ms", base.take_up_ms, 1_000, 600_000)),
         drain_ms=float(count("drain_ms", base.drain_ms, 1_000, 3_600_000)),
--- a/pearloom/records/check.py
+++ b/pearloom/records/check.py
@@ -53,9 +53,9 @@
             raise self.error(key, f"has to be {wanted}, not {text[:60]!r}")
         return text
 
-    def number(self, key: str, default: float, least: float, most: float, whole: bool = False) -> float:
+    def number(self, key: str, default: float, least: float, most: float, is_integer: bool = False) -> float:
         """A number between two bounds, both allowed."""
-        kinds, wanted = ((int,), "a whole number") if whole else ((int, float), "a number")
+        kinds, wanted = ((int,), "a whole number") if is_integer else ((int, float), "a number")
         found = self._plain(key, kinds, wanted)
         if found is None:
             return default
--- a/pearloom/rules/settings.py
+++ b/pearloom/rules/settings.py
@@ -39,7 +39,7 @@
     terms = Terms(
         soak_ms=float(count("soak_ms", base.soak_ms, 100, 86_400_000)),
         evidence_ms=float(count("evidence_ms", base.evidence_ms, 1_000, 604_800_000)),
-        least_calls=int(count("least_calls", base.least_calls, 1, 1_000_000, whole=True)),
+        least_calls=int(count("least_calls", base.least_calls, 1, 1_000_000, is_integer=True)),
         tell_ms=float(count("tell_ms", base.tell_ms, 100, 60_000)),
         look_ms=float(count("look_ms", base.look_ms, 100, 600_000)),
         silent_ms=float(count("silent_ms", base.silent_ms, 500, 600_000)),
