--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -23,7 +23,7 @@
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from tests.player import SETTINGS, encode
 from tests.races.scene import OPTIONS, Scene
-from tests.test_program import FAILED, PASSED, ROOT, TOLD, ask, await_line, ended, managed, start
+from tests.test_program import BASE_CONFIG, FAILED, PASSED, ROOT, ask, await_line, ended, managed, start
 
 __all__ = ["ended"]
 CALL = "9b1f03aa5c7e2d41"
@@ -45,7 +45,7 @@
             [{"host": "s-00000001", "dial": dial, "block": 0, "health": "in_service"}] if with_server else []
         )
         known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-        told = {**TOLD, "listen": "%s:%d" % self.address, "known": known, **more}
+        told = {**BASE_CONFIG, "listen": "%s:%d" % self.address, "known": known, **more}
         self.process = start(folder, told, BALANCER_MANAGEMENT="%s:%d" % self.operators)
         await_line(self.process, "started")
 
@@ -73,7 +73,7 @@
     hung.bind(str(tmp_path / f"pearloom-127.0.0.1-{address[1]}.sock"))
     hung.listen()
     hung.settimeout(10)
-    process = start(tmp_path, {**TOLD, "listen": "%s:%d" % address}, TMPDIR=str(tmp_path))
+    process = start(tmp_path, {**BASE_CONFIG, "listen": "%s:%d" % address}, TMPDIR=str(tmp_path))
     with closing(hung), closing(hung.accept()[0]):
         process.send_signal(signal.SIGTERM)
         assert process.wait(5) == 0
@@ -181,7 +181,7 @@
     coordinator, address = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
     operators = ("127.0.0.1", free_port())
     told = {
-        **TOLD,
+        **BASE_CONFIG,
         "listen": "%s:%d" % address,
         "coordinator": "%s:%d" % coordinator,
         "limits": {"sockets": DESCRIPTORS},
@@ -218,7 +218,7 @@
     dial = socket.create_server(("127.0.0.1", 0), backlog=8)  # up, but never accepted: the new one waits 1 s
     host = {"host": "s-00000001", "dial": "127.0.0.1:%d" % dial.getsockname()[1], "health": "in_service"}
     known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": [host]}}]}
-    told = {**TOLD, "listen": "%s:%d" % address, "known": known}
+    told = {**BASE_CONFIG, "listen": "%s:%d" % address, "known": known}
     old = start(tmp_path, told, TMPDIR=str(tmp_path))
     await_line(old, "started")
     new = start(tmp_path, told, TMPDIR=str(tmp_path))
@@ -268,7 +268,12 @@
         if discovery != "down":
             listener = held.enter_context(closing(socket.create_server(coordinator)))
             listener.settimeout(5)
-        told = {**TOLD, "listen": "%s:%d" % address, "known": known, "coordinator": "%s:%d" % coordinator}
+        told = {
+            **BASE_CONFIG,
+            "listen": "%s:%d" % address,
+            "known": known,
+            "coordinator": "%s:%d" % coordinator,
+        }
         begun = time.monotonic()
         process = start(tmp_path, told, BALANCER_MANAGEMENT="%s:%d" % operators)
         await_line(process, "started")
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -17,7 +17,7 @@
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
 from pearloom.fakes.stage import free_port
-from tests.test_program import TOLD, await_line, ended, start
+from tests.test_program import BASE_CONFIG, await_line, ended, start
 
 __all__ = ["ended"]
 FLAWS_MS = 200.0  # of a busy machine, on a time measured from outside
@@ -117,7 +117,7 @@
         ]  # fmt: skip
         address = ("127.0.0.1", free_port())
         known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-        told = {**TOLD, "listen": "%s:%d" % address, "known": known, "settings": site.settings()}
+        told = {**BASE_CONFIG, "listen": "%s:%d" % address, "known": known, "settings": site.settings()}
         process = start(folder, told)
         stack.callback(process.wait)
         stack.callback(process.kill)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from pearloom.fakes.stage import free_port
 
 # `ended` is the autouse fixture that ends what a test started, also when it fails.
-from tests.test_program import TOLD, await_line, ended, start  # noqa: F401
+from tests.test_program import BASE_CONFIG, await_line, ended, start  # noqa: F401
 
 PLAIN_START_S = 1.0
 
@@ -54,7 +54,7 @@
     address = ("127.0.0.1", free_port())
     if left == "socket":
         leave_socket_file(tmp_path / f"pearloom-{address[0]}-{address[1]}.sock")
-    process = start(tmp_path, {**TOLD, "listen": f"{address[0]}:{address[1]}"}, TMPDIR=str(tmp_path))
+    process = start(tmp_path, {**BASE_CONFIG, "listen": f"{address[0]}:{address[1]}"}, TMPDIR=str(tmp_path))
     lines = await_line(process, "started")
     assert not [one for one in lines if "handover" in one], lines
     with socket.create_connection(address, timeout=5):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,7 +21,7 @@
 TEST = "(34 00000000000000ff 2d(00))"
 PASSED = "(35 00000000000000ff 2d(01))"
 FAILED = "(35 00000000000000ff 2d(00))"
-TOLD: dict[str, object] = {
+BASE_CONFIG: dict[str, object] = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "seed": "8c1f30d27a5be964",
@@ -62,7 +62,7 @@
 @pytest.fixture
 def running(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[str], socket.socket]]:
     address = ("127.0.0.1", free_port())
-    process = start(tmp_path, {**TOLD, "listen": f"{address[0]}:{address[1]}"})
+    process = start(tmp_path, {**BASE_CONFIG, "listen": f"{address[0]}:{address[1]}"})
     assert process.stderr is not None and "event=started" in process.stderr.readline()
     with socket.create_connection(address, timeout=5) as caller:
         yield process, caller
@@ -110,7 +110,7 @@
     services = [{"name": "open-form", "aimUs": 9_000_000, "deadlineUs": 9_000_000, "importance": 1}]
     address = ("127.0.0.1", free_port())
     of_services = {"services": services, "specifics": {"guardUs": 300_000, "skilledPools": [[0, 1, 2]]}}
-    told = {**TOLD, "listen": f"127.0.0.1:{address[1]}", "settings": {**SETTINGS, **of_services}}
+    told = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "settings": {**SETTINGS, **of_services}}
     process = start(tmp_path, told)
     assert process.stderr is not None and "event=started" in process.stderr.readline()
     with socket.create_connection(address, timeout=4) as caller, process.stderr:
@@ -123,7 +123,7 @@
 def test_connections_are_bounded_by_the_memory_too(tmp_path: Path) -> None:
     address = ("127.0.0.1", free_port())
     limits = {"sockets": 1024, "memory_mb": 16}
-    process = start(tmp_path, {**TOLD, "listen": f"127.0.0.1:{address[1]}", "limits": limits})
+    process = start(tmp_path, {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "limits": limits})
     assert process.stderr is not None and "event=started" in process.stderr.readline()
     with process.stderr:
         callers = [socket.create_connection(address, timeout=5) for _ in range(30)]
@@ -159,7 +159,7 @@
     server.settimeout(5)
     hosts = [{"host": "s-00000001", "dial": "127.0.0.1:%d" % server.getsockname()[1], "health": "in_service"}]
     known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-    told = {**TOLD, "listen": f"127.0.0.1:{address[1]}", "known": known}
+    told = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "known": known}
     with socket.socket(socket.AF_UNIX) as stale:
         stale.bind(str(tmp_path / f"pearloom-127.0.0.1-{address[1]}.sock"))  # of a process that is gone
     call = "9b1f03aa5c7e2d41"
@@ -217,7 +217,7 @@
 
 def test_a_new_process_listens_beside_one_whose_handover_does_not_answer(tmp_path: Path) -> None:
     address, operators = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-    told = {**TOLD, "listen": f"127.0.0.1:{address[1]}"}
+    told = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}"}
     hung = start(tmp_path, told, TMPDIR=str(tmp_path))
     await_line(hung, "started")
     hung.send_signal(signal.SIGSTOP)
@@ -249,22 +249,28 @@
     [
         "{",
         {},
-        {**TOLD, "settings": {}},
-        {**TOLD, "listen": "nowhere"},
-        {**TOLD, "seed": "x"},
-        {**TOLD, "settings": {**SETTINGS, "fleetSize": 0}},
-        {**TOLD, "settings": {**SETTINGS, "limits": {**LIMITS, "maxAttempts": 0}}},
-        {**TOLD, "settings": {**SETTINGS, "limits": {**LIMITS, "dialTimeoutUs": 0}}},
-        {**TOLD, "settings": {**SETTINGS, "guarantees": {"fallUs": float("inf")}}},
-        {**TOLD, "settings": {**SETTINGS, "guarantees": {"coldShare": float("nan")}}},
-        {**TOLD, "settings": {**SETTINGS, "services": SERVICES[:1]}},  # pools for a class that is unknown
-        {**TOLD, "settings": {**SETTINGS, "services": [SERVICES[0], SERVICES[0]]}},
-        {**TOLD, "settings": {**SETTINGS, "services": [{**SERVICES[0], "effect": "often"}, SERVICES[1]]}},
-        {**TOLD, "settings": {**SETTINGS, "specifics": {"skilledPools": [[0], []]}}},
-        {**TOLD, "settings": {**SETTINGS, "tenants": [{"name": "", "fraction": 1}]}},
-        {**TOLD, "limits": {"sockets": 0}},
-        {**TOLD, "limits": {"sockets": 64, "memory_mb": 0}},
-        {**TOLD, "known": {"updates": [{"index": 1, "endpoints": {"whole": True, "hosts": [{}]}}]}},
+        {**BASE_CONFIG, "settings": {}},
+        {**BASE_CONFIG, "listen": "nowhere"},
+        {**BASE_CONFIG, "seed": "x"},
+        {**BASE_CONFIG, "settings": {**SETTINGS, "fleetSize": 0}},
+        {**BASE_CONFIG, "settings": {**SETTINGS, "limits": {**LIMITS, "maxAttempts": 0}}},
+        {**BASE_CONFIG, "settings": {**SETTINGS, "limits": {**LIMITS, "dialTimeoutUs": 0}}},
+        {**BASE_CONFIG, "settings": {**SETTINGS, "guarantees": {"fallUs": float("inf")}}},
+        {**BASE_CONFIG, "settings": {**SETTINGS, "guarantees": {"coldShare": float("nan")}}},
+        {
+            **BASE_CONFIG,
+            "settings": {**SETTINGS, "services": SERVICES[:1]},
+        },  # pools for a class that is unknown
+        {**BASE_CONFIG, "settings": {**SETTINGS, "services": [SERVICES[0], SERVICES[0]]}},
+        {
+            **BASE_CONFIG,
+            "settings": {**SETTINGS, "services": [{**SERVICES[0], "effect": "often"}, SERVICES[1]]},
+        },
+        {**BASE_CONFIG, "settings": {**SETTINGS, "specifics": {"skilledPools": [[0], []]}}},
+        {**BASE_CONFIG, "settings": {**SETTINGS, "tenants": [{"name": "", "fraction": 1}]}},
+        {**BASE_CONFIG, "limits": {"sockets": 0}},
+        {**BASE_CONFIG, "limits": {"sockets": 64, "memory_mb": 0}},
+        {**BASE_CONFIG, "known": {"updates": [{"index": 1, "endpoints": {"whole": True, "hosts": [{}]}}]}},
     ],
 )
 def test_an_unusable_configuration_is_one_plain_line(tmp_path: Path, told: object) -> None:
@@ -278,6 +284,6 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
-        process = start(tmp_path, {**TOLD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"})
+        process = start(tmp_path, {**BASE_CONFIG, "listen": f"127.0.0.1:{taken.getsockname()[1]}"})
         _, errors = process.communicate(timeout=30)
     assert process.returncode == 2 and errors.count("\n") == 1
