--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -23,7 +23,7 @@
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from tests.player import SETTINGS, encode
 from tests.races.scene import OPTIONS, Scene
-from tests.test_program import BASE_CONFIG, FAILED, PASSED, ROOT, ask, await_line, ended, managed, start
+from tests.test_program import BASE_CONFIG, FAILED, PASSED, ROOT, await_line, ended, managed, send_test, start
 
 __all__ = ["ended"]
 CALL = "9b1f03aa5c7e2d41"
@@ -85,7 +85,7 @@
     """Guards against leaving 0.9 s after SIGTERM while the rest of a set-up is on its way."""
     with closing(Running(tmp_path, with_server=False)) as running, running.caller() as caller:
         whole = encode(SET_UP)
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
         running.process.send_signal(signal.SIGTERM)
         await_line(running.process, "stopping")
         caller.sendall(whole[:20])
@@ -136,7 +136,7 @@
 def test_nothing_is_taken_once_the_program_has_decided_to_end(running: Running) -> None:
     """Guards against set-ups that the system takes for a process that reads no more."""
     with running.caller() as caller:
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
         running.process.send_signal(signal.SIGTERM)
         lines = await_line(running.process, "stopped")
         assert any("event=counters" in line for line in lines)
@@ -194,7 +194,7 @@
         await_line(process, "started")
         idle = [held.enter_context(socket.create_connection(address, timeout=5)) for _ in range(150)]
         true = held.enter_context(socket.create_connection(address, timeout=5))
-        assert ask(true) == encode(PASSED)
+        assert send_test(true) == encode(PASSED)
         assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         discovery = held.enter_context(closing(socket.create_server(coordinator)))
         discovery.settimeout(2)  # found again at once
@@ -227,10 +227,13 @@
     await_line(new, "started")
     for _ in range(3):
         with socket.create_connection(address, timeout=5) as caller:
-            assert ask(caller) in (encode(PASSED), encode(FAILED))  # the old one fails tests while it ends
+            assert send_test(caller) in (
+                encode(PASSED),
+                encode(FAILED),
+            )  # the old one fails tests while it ends
     assert old.wait(5) == 0
     with socket.create_connection(address, timeout=5) as caller:
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
     dial.close()
     for process in (old, new):
         assert process.stderr is not None
@@ -284,7 +287,7 @@
                 stream.sendall(struct.pack(">IQB", 9, number, kind))
         assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         with socket.create_connection(address, timeout=5) as caller:
-            assert ask(caller) == encode(PASSED)
+            assert send_test(caller) == encode(PASSED)
             assert time.monotonic() - begun < READY_S
             if discovery == "whole but empty":
                 await_line(process, "list")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -71,7 +71,7 @@
     process.stderr.close()
 
 
-def ask(caller: socket.socket) -> bytes:
+def send_test(caller: socket.socket) -> bytes:
     caller.sendall(encode(TEST))
     return caller.recv(100)
 
@@ -80,12 +80,12 @@
     running: tuple[subprocess.Popen[str], socket.socket],
 ) -> None:
     process, caller = running
-    assert ask(caller) == encode(PASSED)
+    assert send_test(caller) == encode(PASSED)
     process.send_signal(signal.SIGTERM)
     assert process.stderr is not None
     while "event=stopping" not in process.stderr.readline():
         pass
-    assert ask(caller) == encode(FAILED)
+    assert send_test(caller) == encode(FAILED)
     assert process.wait(10) == 0
     assert "event=counters" in process.stderr.read()
 
@@ -102,7 +102,7 @@
         process.send_signal(signal.SIGHUP)
         while f"event={event}" not in process.stderr.readline():
             pass
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
 
 
 def test_sigterm_refuses_what_is_still_open_before_sigkill_may_come(tmp_path: Path) -> None:
@@ -127,7 +127,7 @@
     assert process.stderr is not None and "event=started" in process.stderr.readline()
     with process.stderr:
         callers = [socket.create_connection(address, timeout=5) for _ in range(30)]
-        assert ask(callers[-1]) == encode(PASSED)
+        assert send_test(callers[-1]) == encode(PASSED)
         assert callers[0].recv(1) == b""
         process.kill()
         process.wait()
@@ -185,7 +185,7 @@
     dies.wait()
     await_line(first, "handover_undone")
     with socket.create_connection(address, timeout=5) as other:
-        assert ask(other) == encode(PASSED)  # the first one accepts again
+        assert send_test(other) == encode(PASSED)  # the first one accepts again
 
     second = begin(2)
     assert managed(operators[0], "/v1/readyz").startswith(b"HTTP/1.1 503 ")
@@ -194,7 +194,7 @@
     assert first.wait(5) == 0
     with socket.create_connection(address, timeout=5) as other:
         other.sendall(encode("(10 0000000000000002)"))
-        assert ask(other) == encode(PASSED)
+        assert send_test(other) == encode(PASSED)
         trunks: list[socket.socket] = []
         bye = f"BYE sip:peer@net SIP/2.0\r\nCall-ID: {call}\r\nCSeq: 9 BYE\r\nReason: Q.850;cause=16\r\n"
         # The server tells it on each connection that it has; those of processes that are gone are reset.
