--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -23,7 +23,17 @@
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from tests.player import SETTINGS, encode
 from tests.races.scene import OPTIONS, Scene
-from tests.test_program import BASE_CONFIG, FAILED, PASSED, ROOT, await_line, ended, managed, send_test, start
+from tests.test_program import (
+    BASE_CONFIG,
+    FAILED,
+    PASSED,
+    ROOT,
+    await_line,
+    ended,
+    management_call,
+    send_test,
+    start,
+)
 
 __all__ = ["ended"]
 CALL = "9b1f03aa5c7e2d41"
@@ -123,7 +133,7 @@
     with running.caller() as caller, closing(running.server.accept()[0]) as trunk:
         caller.sendall(encode(SET_UP))
         assert b"INVITE" in trunk.recv(1000)
-        assert managed(running.operators, "/v1/softswitch/drain", "POST").startswith(b"HTTP/1.1 200 ")
+        assert management_call(running.operators, "/v1/softswitch/drain", "POST").startswith(b"HTTP/1.1 200 ")
         running.process.send_signal(signal.SIGTERM)
         await_line(running.process, "stopping")
         trunk.sendall(
@@ -195,7 +205,7 @@
         idle = [held.enter_context(socket.create_connection(address, timeout=5)) for _ in range(150)]
         true = held.enter_context(socket.create_connection(address, timeout=5))
         assert send_test(true) == encode(PASSED)
-        assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
+        assert management_call(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         discovery = held.enter_context(closing(socket.create_server(coordinator)))
         discovery.settimeout(2)  # found again at once
         stream = held.enter_context(closing(discovery.accept()[0]))
@@ -285,7 +295,7 @@
             if discovery != "silent":
                 kind, number = (0, 0) if discovery == "silent after a frame" else (1, 2)
                 stream.sendall(struct.pack(">IQB", 9, number, kind))
-        assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
+        assert management_call(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         with socket.create_connection(address, timeout=5) as caller:
             assert send_test(caller) == encode(PASSED)
             assert time.monotonic() - begun < READY_S
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -145,7 +145,7 @@
     return before
 
 
-def managed(address: tuple[str, int], path: str, method: str = "GET") -> bytes:
+def management_call(address: tuple[str, int], path: str, method: str = "GET") -> bytes:
     with socket.create_connection(address, timeout=5) as operator:
         operator.sendall(f"{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n".encode())
         return b"".join(iter(lambda: operator.recv(1000), b""))
@@ -168,7 +168,7 @@
         at = "{}:{}".format(*operators[number])
         process = start(tmp_path, told, TMPDIR=str(tmp_path), BALANCER_MANAGEMENT=at)
         await_line(process, "started")
-        assert managed(operators[number], "/v1/readyz").startswith(b"HTTP/1.1 200 ")
+        assert management_call(operators[number], "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         return process
 
     first = begin(0)
@@ -188,7 +188,7 @@
         assert send_test(other) == encode(PASSED)  # the first one accepts again
 
     second = begin(2)
-    assert managed(operators[0], "/v1/readyz").startswith(b"HTTP/1.1 503 ")
+    assert management_call(operators[0], "/v1/readyz").startswith(b"HTTP/1.1 503 ")
     assert caller.recv(1) == b""
     first.send_signal(signal.SIGTERM)
     assert first.wait(5) == 0
@@ -225,7 +225,7 @@
     beside = start(tmp_path, told, TMPDIR=str(tmp_path), BALANCER_MANAGEMENT=at)
     await_line(beside, "handover_unanswered")
     await_line(beside, "started")
-    assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
+    assert management_call(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
     for process in (hung, beside):
         process.kill()
         process.wait()
