--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -29,13 +29,13 @@
     PASSED,
     ROOT,
     await_line,
-    ended,
+    end_processes,
     management_call,
     send_test,
     start,
 )
 
-__all__ = ["ended"]
+__all__ = ["end_processes"]
 CALL = "9b1f03aa5c7e2d41"
 SET_UP = f'(01 {CALL} 03("open-form") 06("3000") 0f("1") 12("dest:0") 30("sdp-c"))'
 DESCRIPTORS = 64
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -17,9 +17,9 @@
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
 from pearloom.fakes.stage import free_port
-from tests.test_program import BASE_CONFIG, await_line, ended, start
+from tests.test_program import BASE_CONFIG, await_line, end_processes, start
 
-__all__ = ["ended"]
+__all__ = ["end_processes"]
 FLAWS_MS = 200.0  # of a busy machine, on a time measured from outside
 NAME = st.from_regex(r"[a-z][a-z0-9]{0,5}(-[a-z0-9]{1,5}){0,2}", fullmatch=True)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,8 +16,8 @@
 from pearloom.admin.handover import request_handover
 from pearloom.fakes.stage import free_port
 
-# `ended` is the autouse fixture that ends what a test started, also when it fails.
-from tests.test_program import BASE_CONFIG, await_line, ended, start  # noqa: F401
+# `end_processes` is the autouse fixture that ends what a test started, also when it fails.
+from tests.test_program import BASE_CONFIG, await_line, end_processes, start  # noqa: F401
 
 PLAIN_START_S = 1.0
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -50,7 +50,7 @@
 
 
 @pytest.fixture(autouse=True)
-def ended() -> Iterator[None]:
+def end_processes() -> Iterator[None]:
     """Guards against processes that a test leaves behind when it fails."""
     yield
     while STARTED:
