--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -237,10 +237,8 @@
     await_line(new, "started")
     for _ in range(3):
         with socket.create_connection(address, timeout=5) as caller:
-            assert send_test(caller) in (
-                encode(PASSED),
-                encode(FAILED),
-            )  # the old one fails tests while it ends
+            # The old process fails tests while it ends.
+            assert send_test(caller) in (encode(PASSED), encode(FAILED))
     assert old.wait(5) == 0
     with socket.create_connection(address, timeout=5) as caller:
         assert send_test(caller) == encode(PASSED)
