--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from pearloom.admin.management import Answer, Ask, Routes
+from pearloom.admin.management import Answer, HttpRequest, Routes
 from pearloom.admin.store_writes import away, bad, write
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
@@ -71,7 +71,7 @@
         return Answer(HTTPStatus.OK, "\n".join(lines) + "\n")
 
     # --- writing --------------------------------------------------------------------------------------------
-    def _ask(self, ask: Ask) -> Answer:
+    def _ask(self, ask: HttpRequest) -> Answer:
         try:
             work: _Work = msgspec.json.decode(ask.body, type=_Work)
         except msgspec.MsgspecError as trouble:
@@ -98,10 +98,10 @@
             return done
         return Answer(HTTPStatus.OK, "".join(f"turn={slot.id} machine={slot.machine}\n" for slot in asked))
 
-    def _cancel(self, ask: Ask) -> Answer:
+    def _cancel(self, ask: HttpRequest) -> Answer:
         return self._write(lambda slots: steps.cancel(slots, ask.rest).transaction)
 
-    def _back(self, ask: Ask) -> Answer:
+    def _back(self, ask: HttpRequest) -> Answer:
         return self._write(lambda slots: steps.mark_returned(slots, ask.rest).transaction)
 
     def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class HttpRequest:
     """A call: the path's rest after a route that ends with a slash, and the body."""
 
     rest: str = ""
@@ -46,7 +46,7 @@
 
 
 Routes = dict[
-    str, dict[str, Callable[[Ask], Answer]]
+    str, dict[str, Callable[[HttpRequest], Answer]]
 ]  # by path (all below it, if it ends with a slash), by method
 
 
@@ -207,4 +207,4 @@
             return Answer(HTTPStatus.NOT_FOUND)
         if call.method not in methods:
             return Answer(HTTPStatus.METHOD_NOT_ALLOWED, allow=", ".join(methods))
-        return methods[call.method](Ask(rest, call.body))
+        return methods[call.method](HttpRequest(rest, call.body))
--- a/pearloom/admin/members.py
+++ b/pearloom/admin/members.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from pearloom.admin.management import Answer, Ask, Routes
+from pearloom.admin.management import Answer, HttpRequest, Routes
 from pearloom.coordination import Outcome
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
@@ -33,7 +33,7 @@
         ]
         return Answer(HTTPStatus.OK, "".join([f"view={view.revision}\n", *lines]))
 
-    def _remove(self, ask: Ask) -> Answer:
+    def _remove(self, ask: HttpRequest) -> Answer:
         """Guards against one that is gone for good and counts as out for ever; not one that may live."""
         member = self._host.view.find(ask.rest)
         if member is None:
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from pearloom.admin.management import Answer, Ask, Routes
+from pearloom.admin.management import Answer, HttpRequest, Routes
 from pearloom.admin.store_writes import away, bad, conflict, write
 from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
@@ -134,14 +134,14 @@
         for name, version in (("new", there.head.rollout.version), ("old", there.head.version)):
             yield from _delays(name, version, told)
 
-    def _version(self, ask: Ask) -> Answer:
+    def _version(self, ask: HttpRequest) -> Answer:
         rules = self._rules.rules_of(ask.rest)
         if rules is None:
             return Answer(HTTPStatus.NOT_FOUND, f"no version {ask.rest[:40]!r} is kept here\n")
         return Answer(HTTPStatus.OK, canonical(rules).decode("utf-8") + "\n")
 
     # --- writing --------------------------------------------------------------------------------------------
-    def _propose(self, ask: Ask) -> Answer:
+    def _propose(self, ask: HttpRequest) -> Answer:
         try:
             told: _Proposal = msgspec.json.decode(ask.body, type=_Proposal)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
@@ -170,7 +170,7 @@
 
         return self._write(attempt, told.reason, told.author)
 
-    def _undo(self, ask: Ask) -> Answer:
+    def _undo(self, ask: HttpRequest) -> Answer:
         try:
             told: _Undo = msgspec.json.decode(ask.body or b"{}", type=_Undo)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
