--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -17,7 +17,7 @@
 
 from pearloom import interface as api
 from pearloom.admin.handover import Handover, InheritedState, path_of, request_handover
-from pearloom.admin.management import MOST_BYTES, Answer, Management, Routes, most_calls
+from pearloom.admin.management import MOST_BYTES, HttpResponse, Management, Routes, most_calls
 from pearloom.binary.callers import Callers
 from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
@@ -87,7 +87,7 @@
         )
         routes: Routes = {
             "/v1/readyz": {"GET": lambda ask: self._readiness()},
-            "/v1/metrics": {"GET": lambda ask: Answer(HTTPStatus.OK, self.exchange.metrics_text())},
+            "/v1/metrics": {"GET": lambda ask: HttpResponse(HTTPStatus.OK, self.exchange.metrics_text())},
             "/v1/softswitch/drain": {"POST": lambda ask: self.drain()},
             "/v1/softswitch/activate": {"POST": lambda ask: self.activate()},
         }
@@ -146,25 +146,27 @@
             looked = self._clock.now_ms()
 
     # --- what operators ask for -----------------------------------------------------------------------------
-    def _readiness(self) -> Answer:
+    def _readiness(self) -> HttpResponse:
         """Can this process serve? A drained one can: what it wants is for the front to ask, at the callers'
         address. One that another has taken over from, or that is to end, takes nobody new."""
         ready = self.is_serving and not self.callers.stopping and not self.callers.yielded
-        return Answer(HTTPStatus.OK, "ready\n") if ready else Answer(HTTPStatus.SERVICE_UNAVAILABLE)
+        return (
+            HttpResponse(HTTPStatus.OK, "ready\n") if ready else HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE)
+        )
 
-    def drain(self) -> Answer:
+    def drain(self) -> HttpResponse:
         """Empty this softswitch; harmless at any time."""
         log_event(logging.INFO, "draining", open_calls=self.exchange.open_calls)
         self.callers.drain()
         self.handover.drain(True)
-        return Answer(HTTPStatus.OK, "draining\n")
+        return HttpResponse(HTTPStatus.OK, "draining\n")
 
-    def activate(self) -> Answer:
+    def activate(self) -> HttpResponse:
         """End the drain; harmless at any time."""
         log_event(logging.INFO, "active")
         self.callers.activate()
         self.handover.drain(False)
-        return Answer(HTTPStatus.OK, "active\n")
+        return HttpResponse(HTTPStatus.OK, "active\n")
 
     def print_counters(self) -> None:
         """Log what has been counted and what is held."""
--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from pearloom.admin.management import Answer, HttpRequest, Routes
+from pearloom.admin.management import HttpRequest, HttpResponse, Routes
 from pearloom.admin.store_writes import away, bad, write
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
@@ -52,7 +52,7 @@
         }
 
     # --- reading --------------------------------------------------------------------------------------------
-    def _show(self) -> Answer:
+    def _show(self) -> HttpResponse:
         slots = self._host.slots
         if slots is None:
             return away()
@@ -68,10 +68,10 @@
                 f" phase={slot.phase.value} urgent={str(slot.urgent).lower()} by={slot.by}"
                 f' why="{why or "-"}" reason={msgspec.json.encode(slot.reason).decode()}'
             )
-        return Answer(HTTPStatus.OK, "\n".join(lines) + "\n")
+        return HttpResponse(HTTPStatus.OK, "\n".join(lines) + "\n")
 
     # --- writing --------------------------------------------------------------------------------------------
-    def _ask(self, ask: HttpRequest) -> Answer:
+    def _ask(self, ask: HttpRequest) -> HttpResponse:
         try:
             work: _Work = msgspec.json.decode(ask.body, type=_Work)
         except msgspec.MsgspecError as trouble:
@@ -93,26 +93,28 @@
         done = self._write(lambda slots: records.request_slots(slots, asked))
         if done.status is HTTPStatus.ACCEPTED and (now := self._host.slots) is not None:
             # The ids are drawn here: that the queue has them proves it, though they have moved on since.
-            done = Answer(HTTPStatus.OK) if all(now.find(slot.id) for slot in asked) else done
+            done = HttpResponse(HTTPStatus.OK) if all(now.find(slot.id) for slot in asked) else done
         if done.status is not HTTPStatus.OK:
             return done
-        return Answer(HTTPStatus.OK, "".join(f"turn={slot.id} machine={slot.machine}\n" for slot in asked))
+        return HttpResponse(
+            HTTPStatus.OK, "".join(f"turn={slot.id} machine={slot.machine}\n" for slot in asked)
+        )
 
-    def _cancel(self, ask: HttpRequest) -> Answer:
+    def _cancel(self, ask: HttpRequest) -> HttpResponse:
         return self._write(lambda slots: steps.cancel(slots, ask.rest).transaction)
 
-    def _back(self, ask: HttpRequest) -> Answer:
+    def _back(self, ask: HttpRequest) -> HttpResponse:
         return self._write(lambda slots: steps.mark_returned(slots, ask.rest).transaction)
 
-    def _write(self, attempt: Callable[[Slots], Transaction]) -> Answer:
-        def read() -> Slots | Answer:
+    def _write(self, attempt: Callable[[Slots], Transaction]) -> HttpResponse:
+        def read() -> Slots | HttpResponse:
             slots = self._host.slots
             return away() if slots is None or not self._host.fleet().is_fresh else slots
 
         return write(read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError)
 
 
-def _settled(outcome: Outcome) -> Answer:
+def _settled(outcome: Outcome) -> HttpResponse:
     if outcome is Outcome.WON:
-        return Answer(HTTPStatus.OK, "ok\n")
-    return Answer(HTTPStatus.ACCEPTED, "the store's answer was lost: look at the queue\n")
+        return HttpResponse(HTTPStatus.OK, "ok\n")
+    return HttpResponse(HTTPStatus.ACCEPTED, "the store's answer was lost: look at the queue\n")
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpResponse:
     """What is said to a call."""
 
     status: HTTPStatus
@@ -46,11 +46,11 @@
 
 
 Routes = dict[
-    str, dict[str, Callable[[HttpRequest], Answer]]
+    str, dict[str, Callable[[HttpRequest], HttpResponse]]
 ]  # by path (all below it, if it ends with a slash), by method
 
 
-def encode(answer: Answer, with_body: bool = True) -> bytes:
+def encode(answer: HttpResponse, with_body: bool = True) -> bytes:
     """The answer's bytes; the connection ends with it."""
     body = (answer.text or f"{answer.status.phrase.lower()}\n").encode("utf-8")
     lines = [
@@ -105,23 +105,25 @@
         path: bytes = httptools.parse_url(self._url).path or b""
         return path.decode("latin-1")
 
-    def read(self) -> Answer | None:
+    def read(self) -> HttpResponse | None:
         """Read until the call is whole (None), or say what is wrong with it."""
         try:
             while not self.whole and not self._too_long:
                 data = self.sock.recv(READ_BYTES)
                 if not data:
-                    return Answer(HTTPStatus.BAD_REQUEST)
+                    return HttpResponse(HTTPStatus.BAD_REQUEST)
                 self._taken += data
                 if len(self._taken) > self._most_bytes:
                     # Guards against calls that never end and fill the memory.
-                    return Answer(self._oversized())
+                    return HttpResponse(self._oversized())
                 self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             pass  # an offer to speak something else, which is not taken up
         except httptools.HttpParserError:
-            return None if self.whole else Answer(HTTPStatus.BAD_REQUEST)
-        return Answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) if self._too_long and not self.whole else None
+            return None if self.whole else HttpResponse(HTTPStatus.BAD_REQUEST)
+        return (
+            HttpResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) if self._too_long and not self.whole else None
+        )
 
     def finish(self, answer: bytes) -> None:
         """Write the answer, and read on until the caller has it: closing before would reset it."""
@@ -182,7 +184,9 @@
     def _serve(self, call: _Call) -> None:
         """One call, from its first byte to the end of its connection; exceptions stop here."""
         try:
-            wrong = gevent.with_timeout(CALL_S, call.read, timeout_value=Answer(HTTPStatus.REQUEST_TIMEOUT))
+            wrong = gevent.with_timeout(
+                CALL_S, call.read, timeout_value=HttpResponse(HTTPStatus.REQUEST_TIMEOUT)
+            )
             answer = wrong or self._answer(call)
             self._counters.add("management_calls" if wrong is None else "management_calls_bad")
             say = encode(answer, call.method != "HEAD")
@@ -195,16 +199,16 @@
             self._calls.pop(call, None)
             call.sock.close()
 
-    def _answer(self, call: _Call) -> Answer:
+    def _answer(self, call: _Call) -> HttpResponse:
         try:
             path = call.path
         except httptools.HttpParserInvalidURLError:
-            return Answer(HTTPStatus.BAD_REQUEST)
+            return HttpResponse(HTTPStatus.BAD_REQUEST)
         above, slash, rest = path.rpartition("/")
         if (methods := self._routes.get(path)) is not None:
             rest = ""
         elif (methods := self._routes.get(above + slash)) is None or not rest:
-            return Answer(HTTPStatus.NOT_FOUND)
+            return HttpResponse(HTTPStatus.NOT_FOUND)
         if call.method not in methods:
-            return Answer(HTTPStatus.METHOD_NOT_ALLOWED, allow=", ".join(methods))
+            return HttpResponse(HTTPStatus.METHOD_NOT_ALLOWED, allow=", ".join(methods))
         return methods[call.method](HttpRequest(rest, call.body))
--- a/pearloom/admin/members.py
+++ b/pearloom/admin/members.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from pearloom.admin.management import Answer, HttpRequest, Routes
+from pearloom.admin.management import HttpRequest, HttpResponse, Routes
 from pearloom.coordination import Outcome
 from pearloom.membership.host import MemberHost
 from pearloom.membership.view import Condition
@@ -24,23 +24,25 @@
             "/v1/members/": {"DELETE": self._remove},
         }
 
-    def _show(self) -> Answer:
+    def _show(self) -> HttpResponse:
         view = self._host.view
         lines = [
             f"member={one.name} condition={one.condition.value} zone={one.zone or '-'}"
             f" incarnation={one.incarnation}\n"
             for one in view.members
         ]
-        return Answer(HTTPStatus.OK, "".join([f"view={view.revision}\n", *lines]))
+        return HttpResponse(HTTPStatus.OK, "".join([f"view={view.revision}\n", *lines]))
 
-    def _remove(self, ask: HttpRequest) -> Answer:
+    def _remove(self, ask: HttpRequest) -> HttpResponse:
         """Guards against one that is gone for good and counts as out for ever; not one that may live."""
         member = self._host.view.find(ask.rest)
         if member is None:
-            return Answer(HTTPStatus.NOT_FOUND, f"no member {ask.rest[:64]!r}\n")
+            return HttpResponse(HTTPStatus.NOT_FOUND, f"no member {ask.rest[:64]!r}\n")
         if member.condition not in (Condition.AWAY, Condition.UNREADABLE):
-            return Answer(HTTPStatus.CONFLICT, f"{member.name} is {member.condition.value}, not away\n")
+            return HttpResponse(HTTPStatus.CONFLICT, f"{member.name} is {member.condition.value}, not away\n")
         outcome = self._host.remove(member.name)
         if outcome is Outcome.WON:
-            return Answer(HTTPStatus.OK, "ok\n")
-        return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "the store did not take it: look, and try again\n")
+            return HttpResponse(HTTPStatus.OK, "ok\n")
+        return HttpResponse(
+            HTTPStatus.SERVICE_UNAVAILABLE, "the store did not take it: look, and try again\n"
+        )
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from pearloom.admin.management import Answer, HttpRequest, Routes
+from pearloom.admin.management import HttpRequest, HttpResponse, Routes
 from pearloom.admin.store_writes import away, bad, conflict, write
 from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
@@ -78,11 +78,11 @@
         }
 
     # --- reading --------------------------------------------------------------------------------------------
-    def _show(self) -> Answer:
+    def _show(self) -> HttpResponse:
         there = self._rules.head_state
         if there is None:
             return away()
-        return Answer(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
+        return HttpResponse(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
 
     def _lines(self, there: HeadState) -> Iterator[str]:
         head, followed = there.head, self._rollout.confirmation_status(there)
@@ -134,14 +134,14 @@
         for name, version in (("new", there.head.rollout.version), ("old", there.head.version)):
             yield from _delays(name, version, told)
 
-    def _version(self, ask: HttpRequest) -> Answer:
+    def _version(self, ask: HttpRequest) -> HttpResponse:
         rules = self._rules.rules_of(ask.rest)
         if rules is None:
-            return Answer(HTTPStatus.NOT_FOUND, f"no version {ask.rest[:40]!r} is kept here\n")
-        return Answer(HTTPStatus.OK, canonical(rules).decode("utf-8") + "\n")
+            return HttpResponse(HTTPStatus.NOT_FOUND, f"no version {ask.rest[:40]!r} is kept here\n")
+        return HttpResponse(HTTPStatus.OK, canonical(rules).decode("utf-8") + "\n")
 
     # --- writing --------------------------------------------------------------------------------------------
-    def _propose(self, ask: HttpRequest) -> Answer:
+    def _propose(self, ask: HttpRequest) -> HttpResponse:
         try:
             told: _Proposal = msgspec.json.decode(ask.body, type=_Proposal)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
@@ -170,7 +170,7 @@
 
         return self._write(attempt, told.reason, told.author)
 
-    def _undo(self, ask: HttpRequest) -> Answer:
+    def _undo(self, ask: HttpRequest) -> HttpResponse:
         try:
             told: _Undo = msgspec.json.decode(ask.body or b"{}", type=_Undo)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
@@ -185,27 +185,27 @@
 
     def _write(
         self, attempt: Callable[[HeadState, Request, int], Transaction], reason: str, author: str
-    ) -> Answer:
+    ) -> HttpResponse:
         """Compute, try, and compute again where others wrote in between.
 
         The tag is drawn once: that the log has it proves that this call won, whatever was lost."""
         asked = Request(self._member.name, secrets.token_hex(8), reason, author, int(time.time() * 1000))
 
-        def read() -> HeadState | Answer:
+        def read() -> HeadState | HttpResponse:
             there = self._rules.head_state
             if there is None or not self._link.is_fresh:
                 return away()
             return _won(there, asked.tag) or there
 
-        def settled(outcome: Outcome) -> Answer:
+        def settled(outcome: Outcome) -> HttpResponse:
             self._link.read_again()
             there = self._rules.head_state
             if there is not None and (won := _won(there, asked.tag)) is not None:
                 return won
             if outcome is Outcome.UNKNOWN:
                 text = "the store's answer was lost: look at the head before asking again\n"
-                return Answer(HTTPStatus.ACCEPTED, text)
-            return Answer(HTTPStatus.OK, "ok\n")
+                return HttpResponse(HTTPStatus.ACCEPTED, text)
+            return HttpResponse(HTTPStatus.OK, "ok\n")
 
         def step(there: HeadState) -> Transaction:
             seen = self._rules.applied_head.number if self._rules.applied_head is not None else 0
@@ -214,12 +214,12 @@
         return write(read, step, self._link.commit, self._link.read_again, settled, RulesError)
 
 
-def _won(there: HeadState, tag: str) -> Answer | None:
+def _won(there: HeadState, tag: str) -> HttpResponse | None:
     """The answer to a step that the history shows."""
     step = next((one for one in there.log if one.tag == tag), None)
     if step is None:
         return None
-    return Answer(HTTPStatus.OK, f"head={step.number} did={step.write.value} version={step.version}\n")
+    return HttpResponse(HTTPStatus.OK, f"head={step.number} did={step.write.value} version={step.version}\n")
 
 
 def _delays(name: str, version: str, told: list[Evidence]) -> Iterator[str]:
--- a/pearloom/admin/store_writes.py
+++ b/pearloom/admin/store_writes.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 from typing import TypeVar
 
-from pearloom.admin.management import Answer
+from pearloom.admin.management import HttpResponse
 from pearloom.coordination import Outcome, Transaction
 
 TRIES = 5  # at a store that others write to at the same time
@@ -14,18 +14,18 @@
 
 
 def write(
-    read: Callable[[], T | Answer],
+    read: Callable[[], T | HttpResponse],
     attempt: Callable[[T], Transaction],
     do: Callable[[Transaction], Outcome],
     read_again: Callable[[], None],
-    settled: Callable[[Outcome], Answer],
+    settled: Callable[[Outcome], HttpResponse],
     refusal: type[Exception],
-) -> Answer:
+) -> HttpResponse:
     """`read` gives what the step is computed from, or the answer where it is none; `settled` answers a step
     that won, or whose outcome is not known; `refusal` is raised by a step that can't be taken."""
     for tried in range(TRIES):
         there = read()
-        if isinstance(there, Answer):
+        if isinstance(there, HttpResponse):
             return there
         try:
             outcome = do(attempt(there))
@@ -41,16 +41,16 @@
     return conflict("others wrote at the same time, again and again: try once more")
 
 
-def bad(what: str) -> Answer:
+def bad(what: str) -> HttpResponse:
     """The body is not as it should be."""
-    return Answer(HTTPStatus.BAD_REQUEST, f"{what}\n")
+    return HttpResponse(HTTPStatus.BAD_REQUEST, f"{what}\n")
 
 
-def conflict(what: str) -> Answer:
+def conflict(what: str) -> HttpResponse:
     """The step can't be taken as things stand."""
-    return Answer(HTTPStatus.CONFLICT, f"{what}\n")
+    return HttpResponse(HTTPStatus.CONFLICT, f"{what}\n")
 
 
-def away() -> Answer:
+def away() -> HttpResponse:
     """Nothing can be read or begun now."""
-    return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "the store does not answer: nothing was changed\n")
+    return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, "the store does not answer: nothing was changed\n")
