--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -17,7 +17,7 @@
 
 from pearloom import interface as api
 from pearloom.admin.handover import Handover, InheritedState, path_of, request_handover
-from pearloom.admin.management import MOST_BYTES, HttpResponse, Management, Routes, most_calls
+from pearloom.admin.management import MOST_BYTES, HttpResponse, Management, Routes, max_concurrent_calls
 from pearloom.binary.callers import Callers
 from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
@@ -73,7 +73,7 @@
                 side, server, config.dial_timeout_ms, config.idle_ms, config.handshake_price
             )
         }
-        calls = most_calls(config.descriptors)
+        calls = max_concurrent_calls(config.descriptors)
         left = config.descriptors - self.callers.max_connections - calls - OWN_DESCRIPTORS
         self.servers = Directory(self.exchange, clock, self.counters, makers, left)
         sides: CallerSide = self.callers
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -63,7 +63,7 @@
     return "\r\n".join([*lines, "", ""]).encode("ascii") + (body if with_body else b"")
 
 
-def most_calls(descriptors: int) -> int:
+def max_concurrent_calls(descriptors: int) -> int:
     """How many calls there may be at once, out of this many descriptors."""
     return min(max(int(MOST_CALLS_SHARE * descriptors), LEAST_CALLS), MOST_CALLS)
 
@@ -151,7 +151,7 @@
         """Listen to nobody yet. `most_bytes`: of a call, its body included."""
         self._routes, self._most_bytes = routes, most_bytes
         self._counters = counters
-        self._most = most_calls(descriptors)
+        self._most = max_concurrent_calls(descriptors)
         self._calls: dict[_Call, None] = {}  # the oldest first
 
     def listen(self, address: Address) -> Address:
