--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -17,7 +17,13 @@
 
 from pearloom import interface as api
 from pearloom.admin.handover import Handover, InheritedState, path_of, request_handover
-from pearloom.admin.management import MOST_BYTES, HttpResponse, Management, Routes, max_concurrent_calls
+from pearloom.admin.management import (
+    MAX_REQUEST_BYTES,
+    HttpResponse,
+    Management,
+    Routes,
+    max_concurrent_calls,
+)
 from pearloom.binary.callers import Callers
 from pearloom.core.calls import CallerSide
 from pearloom.core.clock import Clock
@@ -94,7 +100,10 @@
         if installation is not None:
             routes |= installation.routes(self.listing, self.drain, self.activate)
         self.management = Management(
-            routes, self.counters, config.descriptors, installation.most_call if installation else MOST_BYTES
+            routes,
+            self.counters,
+            config.descriptors,
+            installation.most_call if installation else MAX_REQUEST_BYTES,
         )
         self.handover = Handover(
             config.known_digest, self.exchange, self.callers, self.servers, self.coordinator
--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -21,7 +21,7 @@
 BACKLOG = 256
 CALL_S = 1.0  # from the connection to the last byte of the call: silent callers stay for seconds
 GOODBYE_S = 0.25  # for what a caller still sends after its answer: closing on it would reset the answer
-MOST_BYTES = 8 * 1024  # of a call, its body included, where nothing that is asked needs more
+MAX_REQUEST_BYTES = 8 * 1024  # of a call, its body included, where nothing that is asked needs more
 MOST_AFTER = 256 * 1024  # read, and thrown away, of what a caller sends after its call
 READ_BYTES = 4 * 1024
 MOST_CALLS_SHARE = 1 / 24  # x descriptors: calls at once; the callers of set-ups never use these
@@ -146,7 +146,7 @@
     """Listens for operators and answers them."""
 
     def __init__(
-        self, routes: Routes, counters: Counters, descriptors: int, most_bytes: int = MOST_BYTES
+        self, routes: Routes, counters: Counters, descriptors: int, most_bytes: int = MAX_REQUEST_BYTES
     ) -> None:
         """Listen to nobody yet. `most_bytes`: of a call, its body included."""
         self._routes, self._most_bytes = routes, most_bytes
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -13,7 +13,7 @@
 
 import gevent
 
-from pearloom.admin.management import MOST_BYTES
+from pearloom.admin.management import MAX_REQUEST_BYTES
 from pearloom.binary.callers import Callers
 from pearloom.coordination.settings import StoreSettings, read_store
 from pearloom.core.calls import CallerSide
@@ -134,7 +134,7 @@
     @property
     def most_call(self) -> int:
         """Bytes of an operator's call at most."""
-        return MOST_BYTES if self.together is None else self.together.most_call
+        return MAX_REQUEST_BYTES if self.together is None else self.together.most_call
 
     def prepare(self) -> None:
         """Before the first call is taken."""
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from pearloom.admin.management import MOST_AFTER, MOST_BYTES, READ_BYTES, _Call
+from pearloom.admin.management import MAX_REQUEST_BYTES, MOST_AFTER, READ_BYTES, _Call
 
 
 class Endless:
@@ -37,6 +37,6 @@
             gevent.sleep(0)
 
     other = gevent.spawn(take_turns)
-    _Call(endless, MOST_BYTES).finish(b"answer")
+    _Call(endless, MAX_REQUEST_BYTES).finish(b"answer")
     other.join(5)
     assert len(set(turns)) == 5 and max(turns) < MOST_AFTER
