--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -12,7 +12,7 @@
 from pearloom.admin.maintenance import Work
 from pearloom.admin.management import MAX_REQUEST_BYTES, Routes
 from pearloom.admin.members import Members
-from pearloom.admin.rules import MOST_RULES_BYTES, Rules
+from pearloom.admin.rules import MAX_RULES_BYTES, Rules
 from pearloom.coordination import Link, StoreSettings
 from pearloom.coordination.etcd import EtcdStore
 from pearloom.coordination.link import steady_ms
@@ -78,7 +78,7 @@
         self._work = Work(self._turns, config.name)
         self._members = Members(self._member)
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
-        self.most_call = MOST_RULES_BYTES + MAX_REQUEST_BYTES
+        self.most_call = MAX_RULES_BYTES + MAX_REQUEST_BYTES
         listing.on_list_event.append(self._rules.update_zone_cells)
         exchange.reporter.router = self._rules
 
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -33,7 +33,7 @@
 
 SHOWN_LOG = 16
 SHOWN_MEMBERS = 20  # of a stage, in one line
-MOST_RULES_BYTES = 48 * 1024  # of one call: with the rest of the version's key it fits the store's value
+MAX_RULES_BYTES = 48 * 1024  # of one call: with the rest of the version's key it fits the store's value
 
 
 class _Proposal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
