--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -78,7 +78,7 @@
         self._work = Work(self._turns, config.name)
         self._members = Members(self._member)
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
-        self.most_call = MAX_RULES_BYTES + MAX_REQUEST_BYTES
+        self.max_request_bytes = MAX_RULES_BYTES + MAX_REQUEST_BYTES
         listing.on_list_event.append(self._rules.update_zone_cells)
         exchange.reporter.router = self._rules
 
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -134,7 +134,7 @@
     @property
     def most_call(self) -> int:
         """Bytes of an operator's call at most."""
-        return MAX_REQUEST_BYTES if self.together is None else self.together.most_call
+        return MAX_REQUEST_BYTES if self.together is None else self.together.max_request_bytes
 
     def prepare(self) -> None:
         """Before the first call is taken."""
