--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -103,7 +103,7 @@
             routes,
             self.counters,
             config.descriptors,
-            installation.most_call if installation else MAX_REQUEST_BYTES,
+            installation.max_request_bytes if installation else MAX_REQUEST_BYTES,
         )
         self.handover = Handover(
             config.known_digest, self.exchange, self.callers, self.servers, self.coordinator
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -132,7 +132,7 @@
         return self.together.routes()
 
     @property
-    def most_call(self) -> int:
+    def max_request_bytes(self) -> int:
         """Bytes of an operator's call at most."""
         return MAX_REQUEST_BYTES if self.together is None else self.together.max_request_bytes
 
