--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -32,7 +32,7 @@
 LOOK_S = 0.005
 
 
-class Together:
+class FleetServices:
     """The parts, joined; nothing is asked of the store before `prepare`."""
 
     def __init__(
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -31,7 +31,7 @@
 from pearloom.servers.discovery import PoolView
 
 if TYPE_CHECKING:
-    from pearloom.admin.fleet import Together
+    from pearloom.admin.fleet import FleetServices
     from pearloom.admin.management import Routes
     from pearloom.maintenance.settings import MaintenanceSettings
     from pearloom.rules.settings import RulesSettings
@@ -74,7 +74,7 @@
         self.front: Front | None = None
         self._exchange: Exchange | None = None
         self._counters = Counters()
-        self.together: Together | None = None
+        self.together: FleetServices | None = None
         self._servers: Directory | None = None
 
     def join(
@@ -113,12 +113,12 @@
         if self.store is None:
             return {}
         # Loaded only here: the store's client is none of the softswitch's own libraries.
-        from pearloom.admin.fleet import Together
+        from pearloom.admin.fleet import FleetServices
         from pearloom.maintenance.settings import MaintenanceSettings
         from pearloom.rules.settings import RulesSettings
 
         assert self._exchange is not None, "joined first"
-        self.together = Together(
+        self.together = FleetServices(
             self.store,
             self.turns or MaintenanceSettings(),
             self.rules or RulesSettings(),
