--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -74,7 +74,7 @@
         self.front: Front | None = None
         self._exchange: Exchange | None = None
         self._counters = Counters()
-        self.together: FleetServices | None = None
+        self.fleet: FleetServices | None = None
         self._servers: Directory | None = None
 
     def join(
@@ -118,7 +118,7 @@
         from pearloom.rules.settings import RulesSettings
 
         assert self._exchange is not None, "joined first"
-        self.together = FleetServices(
+        self.fleet = FleetServices(
             self.store,
             self.turns or MaintenanceSettings(),
             self.rules or RulesSettings(),
@@ -129,22 +129,22 @@
             drain,
             activate,
         )
-        return self.together.routes()
+        return self.fleet.routes()
 
     @property
     def max_request_bytes(self) -> int:
         """Bytes of an operator's call at most."""
-        return MAX_REQUEST_BYTES if self.together is None else self.together.max_request_bytes
+        return MAX_REQUEST_BYTES if self.fleet is None else self.fleet.max_request_bytes
 
     def prepare(self) -> None:
         """Before the first call is taken."""
-        if self.together is not None:
-            self.together.prepare()
+        if self.fleet is not None:
+            self.fleet.prepare()
 
     def start(self) -> None:
         """Begin all that the file asks for."""
-        if self.together is not None:
-            self.together.start()
+        if self.fleet is not None:
+            self.fleet.start()
         self._start_front()
 
     def _start_front(self) -> None:
@@ -174,8 +174,8 @@
 
     def finish(self) -> None:
         """This process is about to end."""
-        if self.together is not None:
-            self.together.finish()
+        if self.fleet is not None:
+            self.fleet.finish()
         if self.front is not None:
             self.front.finish()
         if self._servers is not None:
