--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from pearloom.admin.maintenance import Work
+from pearloom.admin.maintenance import MaintenanceCalls
 from pearloom.admin.management import MAX_REQUEST_BYTES, Routes
 from pearloom.admin.members import Members
 from pearloom.admin.rules import MAX_RULES_BYTES, Rules
@@ -75,7 +75,7 @@
             halted=lambda: self._rollout.has_recent_halt,
         )
         self._turns = MaintenanceHost(self._link, self._member, counters, turns.limits, hands, steady_ms)
-        self._work = Work(self._turns, config.name)
+        self._work = MaintenanceCalls(self._turns, config.name)
         self._members = Members(self._member)
         self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
         self.max_request_bytes = MAX_RULES_BYTES + MAX_REQUEST_BYTES
--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -37,7 +37,7 @@
     reason: str = ""
 
 
-class Work:
+class MaintenanceCalls:
     """Answers the calls; each may wait for the store, in a greenlet of its own."""
 
     def __init__(self, host: MaintenanceHost, name: str) -> None:
