--- a/pearloom/admin/members.py
+++ b/pearloom/admin/members.py
@@ -10,7 +10,7 @@
 from pearloom.membership.view import Condition
 
 
-class Members:
+class MemberCalls:
     """Answers the calls."""
 
     def __init__(self, host: MemberHost) -> None:
