--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -12,7 +12,7 @@
 from pearloom.admin.maintenance import MaintenanceCalls
 from pearloom.admin.management import MAX_REQUEST_BYTES, Routes
 from pearloom.admin.members import MemberCalls
-from pearloom.admin.rules import MAX_RULES_BYTES, Rules
+from pearloom.admin.rules import MAX_RULES_BYTES, RulesCalls
 from pearloom.coordination import Link, StoreSettings
 from pearloom.coordination.etcd import EtcdStore
 from pearloom.coordination.link import steady_ms
@@ -77,7 +77,9 @@
         self._turns = MaintenanceHost(self._link, self._member, counters, turns.limits, hands, steady_ms)
         self._work = MaintenanceCalls(self._turns, config.name)
         self._members = MemberCalls(self._member)
-        self._asked = Rules(self._link, self._member, self._rules, self._rollout, rules.rollout, self._known)
+        self._asked = RulesCalls(
+            self._link, self._member, self._rules, self._rollout, rules.rollout, self._known
+        )
         self.max_request_bytes = MAX_RULES_BYTES + MAX_REQUEST_BYTES
         listing.on_list_event.append(self._rules.update_zone_cells)
         exchange.reporter.router = self._rules
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -53,7 +53,7 @@
     author: str = ""
 
 
-class Rules:
+class RulesCalls:
     """Answers the calls; each may wait for the store, in a greenlet of its own."""
 
     def __init__(
