--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pearloom.admin.management import HttpRequest, HttpResponse, Routes
-from pearloom.admin.store_writes import away, bad, write
+from pearloom.admin.store_writes import away, bad, write_with_retries
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
@@ -111,7 +111,9 @@
             slots = self._host.slots
             return away() if slots is None or not self._host.fleet().is_fresh else slots
 
-        return write(read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError)
+        return write_with_retries(
+            read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError
+        )
 
 
 def _settled(outcome: Outcome) -> HttpResponse:
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from pearloom.admin.management import HttpRequest, HttpResponse, Routes
-from pearloom.admin.store_writes import away, bad, conflict, write
+from pearloom.admin.store_writes import away, bad, conflict, write_with_retries
 from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
@@ -211,7 +211,7 @@
             seen = self._rules.applied_head.number if self._rules.applied_head is not None else 0
             return attempt(there, asked, seen)
 
-        return write(read, step, self._link.commit, self._link.read_again, settled, RulesError)
+        return write_with_retries(read, step, self._link.commit, self._link.read_again, settled, RulesError)
 
 
 def _won(there: HeadState, tag: str) -> HttpResponse | None:
--- a/pearloom/admin/store_writes.py
+++ b/pearloom/admin/store_writes.py
@@ -13,7 +13,7 @@
 T = TypeVar("T")
 
 
-def write(
+def write_with_retries(
     read: Callable[[], T | HttpResponse],
     attempt: Callable[[T], Transaction],
     do: Callable[[Transaction], Outcome],
