--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pearloom.admin.management import HttpRequest, HttpResponse, Routes
-from pearloom.admin.store_writes import away, bad, write_with_retries
+from pearloom.admin.store_writes import away, bad_request, write_with_retries
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
@@ -75,16 +75,16 @@
         try:
             work: _Work = msgspec.json.decode(ask.body, type=_Work)
         except msgspec.MsgspecError as trouble:
-            return bad(str(trouble))
+            return bad_request(str(trouble))
         if not 0 < len(work.machines) <= MOST_MACHINES:
-            return bad(f"machines: 1 to {MOST_MACHINES} in one call, not {len(work.machines)}")
+            return bad_request(f"machines: 1 to {MOST_MACHINES} in one call, not {len(work.machines)}")
         if len(work.reason) > 200 or not work.reason.isprintable():
-            return bad("reason: has to be at most 200 printable signs")
+            return bad_request("reason: has to be at most 200 printable signs")
         fleet, asked = self._host.fleet(), list[Slot]()
         for at, one in enumerate(work.machines):
             machine = fleet.find(one.kind, one.name)
             if machine is None:
-                return bad(f"machines[{at}]: no {one.kind.value} {one.name[:32]!r} is known here")
+                return bad_request(f"machines[{at}]: no {one.kind.value} {one.name[:32]!r} is known here")
             slot = Slot(
                 FORMAT, secrets.token_hex(4), one.kind, one.name, machine.zone, machine.cell, work.urgent,
                 self._name, work.reason, 0,
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from pearloom.admin.management import HttpRequest, HttpResponse, Routes
-from pearloom.admin.store_writes import away, bad, conflict, write_with_retries
+from pearloom.admin.store_writes import away, bad_request, conflict, write_with_retries
 from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
@@ -145,16 +145,16 @@
         try:
             told: _Proposal = msgspec.json.decode(ask.body, type=_Proposal)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            return bad(str(trouble))
+            return bad_request(str(trouble))
         rules = RuleSet(FORMAT, told.rules)
         if (wrong := _words(told.reason, told.author)) or (wrong := _stages(told.stages)):
-            return bad(wrong)
+            return bad_request(wrong)
         if told.at_once and told.stages:
-            return bad("$.stages: none where the rules are to be in force at once")
+            return bad_request("$.stages: none where the rules are to be in force at once")
         found = find_errors(rules, self._known())
         if found:
             more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
-            return bad(found[0] + more)
+            return bad_request(found[0] + more)
         wanted = () if told.at_once else told.stages or self._settings.stages
         zones = {one.name: one.zone for one in self._member.view.live_members}
         if wanted and len(zones) < 2:
@@ -174,9 +174,9 @@
         try:
             told: _Undo = msgspec.json.decode(ask.body or b"{}", type=_Undo)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            return bad(str(trouble))
+            return bad_request(str(trouble))
         if wrong := _words(told.reason, told.author):
-            return bad(wrong)
+            return bad_request(wrong)
         return self._write(
             lambda there, asked, seen: steps.undo(there, asked, told.expected, told.to, seen),
             told.reason,
--- a/pearloom/admin/store_writes.py
+++ b/pearloom/admin/store_writes.py
@@ -41,7 +41,7 @@
     return conflict("others wrote at the same time, again and again: try once more")
 
 
-def bad(what: str) -> HttpResponse:
+def bad_request(what: str) -> HttpResponse:
     """The body is not as it should be."""
     return HttpResponse(HTTPStatus.BAD_REQUEST, f"{what}\n")
 
