--- a/pearloom/admin/maintenance.py
+++ b/pearloom/admin/maintenance.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pearloom.admin.management import HttpRequest, HttpResponse, Routes
-from pearloom.admin.store_writes import away, bad_request, write_with_retries
+from pearloom.admin.store_writes import bad_request, store_unavailable, write_with_retries
 from pearloom.coordination import Outcome, Transaction
 from pearloom.maintenance import records, steps
 from pearloom.maintenance.host import MaintenanceHost
@@ -55,7 +55,7 @@
     def _show(self) -> HttpResponse:
         slots = self._host.slots
         if slots is None:
-            return away()
+            return store_unavailable()
         reasons = {held.slot.id: wait for held, wait in self._host.waiting()}
         lines = [f"fresh={str(self._host.fleet().is_fresh).lower()} limits.out={slots.limits.out}"]
         lines += [f"unreadable={key}" for key in slots.unreadable]
@@ -109,7 +109,7 @@
     def _write(self, attempt: Callable[[Slots], Transaction]) -> HttpResponse:
         def read() -> Slots | HttpResponse:
             slots = self._host.slots
-            return away() if slots is None or not self._host.fleet().is_fresh else slots
+            return store_unavailable() if slots is None or not self._host.fleet().is_fresh else slots
 
         return write_with_retries(
             read, attempt, self._host.commit, self._host.read_again, _settled, MaintenanceError
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from pearloom.admin.management import HttpRequest, HttpResponse, Routes
-from pearloom.admin.store_writes import away, bad_request, conflict, write_with_retries
+from pearloom.admin.store_writes import bad_request, conflict, store_unavailable, write_with_retries
 from pearloom.coordination import Link, Outcome, Transaction
 from pearloom.membership.host import MemberHost
 from pearloom.rollout import stages
@@ -81,7 +81,7 @@
     def _show(self) -> HttpResponse:
         there = self._rules.head_state
         if there is None:
-            return away()
+            return store_unavailable()
         return HttpResponse(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
 
     def _lines(self, there: HeadState) -> Iterator[str]:
@@ -194,7 +194,7 @@
         def read() -> HeadState | HttpResponse:
             there = self._rules.head_state
             if there is None or not self._link.is_fresh:
-                return away()
+                return store_unavailable()
             return _won(there, asked.tag) or there
 
         def settled(outcome: Outcome) -> HttpResponse:
--- a/pearloom/admin/store_writes.py
+++ b/pearloom/admin/store_writes.py
@@ -51,6 +51,6 @@
     return HttpResponse(HTTPStatus.CONFLICT, f"{what}\n")
 
 
-def away() -> HttpResponse:
+def store_unavailable() -> HttpResponse:
     """Nothing can be read or begun now."""
     return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, "the store does not answer: nothing was changed\n")
