--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -16,7 +16,7 @@
 from gevent.event import Event
 
 from pearloom import interface as api
-from pearloom.admin.handover import Handover, InheritedState, path_of, request_handover
+from pearloom.admin.handover import Handover, InheritedState, request_handover, socket_path
 from pearloom.admin.management import (
     MAX_REQUEST_BYTES,
     HttpResponse,
@@ -131,7 +131,7 @@
             self._installation.start()
         self.is_serving = True
         if folder:
-            self.handover.listen(path_of(config, folder))
+            self.handover.listen(socket_path(config, folder))
 
     def _await_beginning(self) -> None:
         """Guards against calls that wait here for a connection while the process before has one."""
@@ -247,7 +247,7 @@
     try:
         config = read_config(os.environ)
         folder = os.environ.get("TMPDIR", "")
-        legacy = request_handover(path_of(config, folder)) if folder else None
+        legacy = request_handover(socket_path(config, folder)) if folder else None
         if legacy is not None:
             config = legacy.update_config(config)
         softswitch = Softswitch(config, Clock(), read_installation(os.environ, config))
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -38,7 +38,7 @@
 Message = dict[str, Any]
 
 
-def path_of(config: Config, folder: str) -> Path:
+def socket_path(config: Config, folder: str) -> Path:
     """Where the process that serves this address listens for the next one."""
     return Path(folder) / f"pearloom-{config.listen[0]}-{config.listen[1]}.sock"
 
