--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -126,7 +126,7 @@
             self.handover.inherit(legacy)
             self._await_beginning()
             self.callers.accept_on(legacy.listener)
-            self.handover.take()
+            self.handover.take_over()
         if self._installation is not None:
             self._installation.start()
         self.is_serving = True
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -200,7 +200,7 @@
         gevent.spawn(self._follow_elder, self._elder)
         gevent.spawn(self._tell, self._elder, self._over)
 
-    def take(self) -> None:
+    def take_over(self) -> None:
         """Accepting has begun here: the elder is to stop; returns once it has."""
         if self._elder is not None:
             self._elder.to_say.append({"say": "took"})
