--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -167,14 +167,14 @@
         """Empty this softswitch; harmless at any time."""
         log_event(logging.INFO, "draining", open_calls=self.exchange.open_calls)
         self.callers.drain()
-        self.handover.drain(True)
+        self.handover.forward_drain(True)
         return HttpResponse(HTTPStatus.OK, "draining\n")
 
     def activate(self) -> HttpResponse:
         """End the drain; harmless at any time."""
         log_event(logging.INFO, "active")
         self.callers.activate()
-        self.handover.drain(False)
+        self.handover.forward_drain(False)
         return HttpResponse(HTTPStatus.OK, "active\n")
 
     def print_counters(self) -> None:
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -206,7 +206,7 @@
             self._elder.to_say.append({"say": "took"})
             self._accepts_here.wait(PATIENCE_S)
 
-    def drain(self, on: bool) -> None:
+    def forward_drain(self, on: bool) -> None:
         """Guards against a drain that only one of two processes knows of."""
         for other in (self._elder, self._younger):
             if other is not None:
