--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -108,7 +108,7 @@
         self.handover = Handover(
             config.known_digest, self.exchange, self.callers, self.servers, self.coordinator
         )
-        self.callers.forward_release = self.handover.release
+        self.callers.forward_release = self.handover.forward_release
         self.is_serving = False
 
     def start(self, config: Config, legacy: InheritedState | None, folder: str) -> None:
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -212,7 +212,7 @@
             if other is not None:
                 other.to_say.append({"say": "drain" if on else "activate"})
 
-    def release(self, call: str, cause: int) -> bool:
+    def forward_release(self, call: str, cause: int) -> bool:
         """Have the younger tell a caller, who has no connection here any more; False where there is none."""
         if self._younger is None:
             return False
