--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -221,7 +221,7 @@
         self.callers.close()
         if self._installation is not None:
             self._installation.finish()
-        self.handover.finish()
+        self.handover.flush()
 
 
 def read_installation(environment: Mapping[str, str], config: Config) -> Installation | None:
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -219,7 +219,7 @@
         self._younger.to_say.append({"say": "release", "call": call, "cause": cause})
         return True
 
-    def finish(self) -> None:
+    def flush(self) -> None:
         """Let the younger hear the last, before this process ends."""
         if self._younger is not None:
             gevent.sleep(3 * LOOK_S)
