--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -86,10 +86,10 @@
         if installation is not None:
             sides = installation.join(self.exchange, clock, self.counters, self.callers, self.servers, makers)
         self.exchange.attach(sides, self.servers)
-        self.listing = PoolView(self.exchange.handle_pool_list)
-        self.listing.apply_event(api.ListKind.CACHED, merge_updates(config.known))
+        self.pool_view = PoolView(self.exchange.handle_pool_list)
+        self.pool_view.apply_event(api.ListKind.CACHED, merge_updates(config.known))
         self.coordinator = Coordinator(
-            config.coordinator, config.known_index, self.listing, self.counters, config.zone_names
+            config.coordinator, config.known_index, self.pool_view, self.counters, config.zone_names
         )
         routes: Routes = {
             "/v1/readyz": {"GET": lambda ask: self._readiness()},
@@ -98,7 +98,7 @@
             "/v1/softswitch/activate": {"POST": lambda ask: self.activate()},
         }
         if installation is not None:
-            routes |= installation.routes(self.listing, self.drain, self.activate)
+            routes |= installation.routes(self.pool_view, self.drain, self.activate)
         self.management = Management(
             routes,
             self.counters,
