--- a/pearloom/records/language.py
+++ b/pearloom/records/language.py
@@ -63,17 +63,17 @@
         for key, value in other.fields.items():
             joined[key] = _unified(f"{name}.{key}", joined[key], value) if key in joined else value
         return Struct(one.line, joined)
-    if isinstance(one, Value) and bare(one) == bare(other) and one.kind == other.kind:
+    if isinstance(one, Value) and to_plain(one) == to_plain(other) and one.kind == other.kind:
         return one
     raise _Clash(name, one, other)
 
 
-def bare(value: Value | Struct) -> object:
+def to_plain(value: Value | Struct) -> object:
     """The value without its places, as JSON would have it."""
     if isinstance(value, Struct):
-        return {key: bare(inner) for key, inner in value.fields.items()}
+        return {key: to_plain(inner) for key, inner in value.fields.items()}
     if isinstance(value.plain, tuple):
-        return [bare(inner) for inner in value.plain]
+        return [to_plain(inner) for inner in value.plain]
     return value.plain
 
 
@@ -165,7 +165,7 @@
 
 
 def _shown(value: Value | Struct) -> str:
-    text = value.kind if isinstance(value, Struct) else json.dumps(bare(value))
+    text = value.kind if isinstance(value, Struct) else json.dumps(to_plain(value))
     return text if len(text) <= 40 else text[:40] + "…"
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -12,7 +12,7 @@
 from pearloom.iax2.settings import read_iax2
 from pearloom.maintenance.settings import read_maintenance_settings
 from pearloom.records import Fields, RecordError, parse
-from pearloom.records.language import bare
+from pearloom.records.language import to_plain
 from pearloom.rules import read_rules_settings
 
 PLAIN = st.none() | st.booleans() | st.integers(-(2**53), 2**53) | st.text(max_size=20)
@@ -22,12 +22,12 @@
 
 @given(st.dictionaries(st.text(max_size=8), JSON, max_size=4), st.sampled_from([None, 1, 3]))
 def test_json_text_is_valid(value: dict[str, object], indent: int | None) -> None:
-    assert bare(parse(json.dumps(value, indent=indent), "f")) == value
+    assert to_plain(parse(json.dumps(value, indent=indent), "f")) == value
 
 
 def test_fields_by_line_by_comma_nested_and_joined() -> None:
     text = '// a site\na: {b: 1, "c-d": [1,\n 2.5]\n}\n\na: e: f: true // joined\ng: null'
-    assert bare(parse(text, "f")) == {"a": {"b": 1, "c-d": [1, 2.5], "e": {"f": True}}, "g": None}
+    assert to_plain(parse(text, "f")) == {"a": {"b": 1, "c-d": [1, 2.5], "e": {"f": True}}, "g": None}
 
 
 @pytest.mark.parametrize(
