--- a/pearloom/admin/__init__.py
+++ b/pearloom/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' calls and upgrades."""
+"""Operators' management calls, and the hand-over of an upgrade."""
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -1,8 +1,9 @@
-"""An upgrade: the running process hands the callers' listening socket, and what both must know, to a new one.
+"""The hand-over of an upgrade: a process passes the callers' listening socket and its state to the next one.
 
-The elder listens at a Unix socket in $TMPDIR. The younger connects and gets the listening socket itself: what
-waits in its queue is not lost when the elder closes. From then on both write lines of JSON: the elder what
-stands and what is open, the younger when it has begun to accept, and either what the other has to know.
+The previous process listens at a Unix socket in $TMPDIR. The next process connects and receives the listening
+socket itself, so that connections waiting in its queue survive the end of the previous process. Both then
+exchange lines of JSON: the previous process sends its pool list, established calls and open set-ups, the next
+one reports when it has begun to accept, and each forwards what the other has to apply.
 """
 
 from __future__ import annotations
@@ -30,122 +31,127 @@
 from pearloom.servers.coordinator import Coordinator
 from pearloom.servers.directory import Directory
 
-PATIENCE_S = 1.5  # for an elder that does not answer: it hangs, and the younger listens beside it
-LOOK_S = 0.03  # how often either tells the other what has changed
+REPLY_TIMEOUT_S = 1.5  # a previous process that takes longer hangs; the next one then listens beside it
+SEND_INTERVAL_S = 0.03  # between two messages that report changes to the peer process
 READ_BYTES = 64 * 1024
-MOST_LINE = 4 * 1024 * 1024
-CALLS_A_LINE = 500
+MAX_LINE_BYTES = 4 * 1024 * 1024
+CALLS_PER_MESSAGE = 500
 Message = dict[str, Any]
 
 
 def socket_path(config: Config, folder: str) -> Path:
-    """Where the process that serves this address listens for the next one."""
+    """Return the path of the Unix socket at which the process with this address awaits the next one."""
     return Path(folder) / f"pearloom-{config.listen[0]}-{config.listen[1]}.sock"
 
 
-def _at(path: Path, deed: Callable[[str], None]) -> None:
-    """Guards against a folder whose name is too long for the address of a Unix socket."""
+def _with_short_path(path: Path, operation: Callable[[str], None]) -> None:
+    """Call the operation with a short alias of the path.
+
+    Guards against a folder whose name is too long for the address of a Unix socket."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
-        deed(f"/proc/self/fd/{folder}/{path.name}")
+        operation(f"/proc/self/fd/{folder}/{path.name}")
     finally:
         os.close(folder)
 
 
 class Channel:
-    """Lines of JSON, both ways."""
+    """Exchanges JSON messages, one a line, over a connected socket."""
 
     def __init__(self, sock: socket.socket, rest: bytes = b"") -> None:
-        """Take a connected socket and what was read of it already."""
+        """Take a connected socket and the bytes already read from it."""
         self.sock = sock
         self._rest = rest
 
-    def hear(self) -> Message | None:
-        """The next line, or None at the end."""
+    def receive(self) -> Message | None:
+        """Return the next message, or None at the end of the stream and after an overlong line."""
         while b"\n" not in self._rest:
             data = self.sock.recv(READ_BYTES)
-            if not data or len(self._rest) > MOST_LINE:
+            if not data or len(self._rest) > MAX_LINE_BYTES:
                 return None
             self._rest += data
         line, _, self._rest = self._rest.partition(b"\n")
         message: Message = json.loads(line)
         return message
 
-    def say(self, message: Message) -> None:
-        """Write one line."""
+    def send(self, message: Message) -> None:
+        """Write one message."""
         self.sock.sendall(encode(message))
 
 
 def encode(message: Message) -> bytes:
-    """One line."""
+    """Return the message as one line of JSON."""
     return json.dumps(message, separators=(",", ":")).encode("ascii") + b"\n"
 
 
 @dataclass(slots=True)
 class InheritedState:
-    """What the younger has from the elder at its start."""
+    """What the next process receives from the previous one at its start."""
 
     channel: Channel
     listener: socket.socket
-    drained: bool
-    known: str  # which list of the configuration the numbers count from
+    is_drained: bool
+    known_digest: str  # of the configuration's known list, which the index counts from
     pool_list: ListUpdate
 
     def update_config(self, config: Config) -> Config:
-        """The configuration with the elder's list, where its number means the same to this process."""
-        if self.known != config.known_digest or self.pool_list.index < config.known_index:
+        """Return the configuration with the inherited pool list.
+
+        A list that is older, or counts from another list, leaves the configuration as it is."""
+        if self.known_digest != config.known_digest or self.pool_list.index < config.known_index:
             return config
         return replace(config, known=(self.pool_list,), known_index=self.pool_list.index)
 
 
 def request_handover(path: Path) -> InheritedState | None:
-    """Ask the process that serves now for its socket; None where there is none, or none that answers."""
+    """Ask the running process for its socket and state; None if there is none, or none that answers."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    sock.settimeout(PATIENCE_S)
+    sock.settimeout(REPLY_TIMEOUT_S)
     try:
-        _at(path, sock.connect)
+        _with_short_path(path, sock.connect)
         data, fds, _, _ = plain_socket.recv_fds(sock, READ_BYTES, 1)
         if not fds:
-            raise ConnectionError("no socket came")
+            raise ConnectionError("the previous process sent no listening socket")
         listener = socket.socket(fileno=fds[0])
         channel = Channel(sock, data)
-        first = channel.hear()
+        first = channel.receive()
         if first is None:
-            raise ConnectionError("no list came")
+            raise ConnectionError("the previous process sent no pool list")
         sock.settimeout(None)
-        zones = first.get("zones", {})  # an elder of an earlier version does not tell them
+        zones = first.get("zones", {})  # absent if the previous process runs an earlier version
         servers = tuple(
             Server(PoolEntry(name, cell, PoolState(state), started_us), (host, port), zones.get(name, ""))
             for name, cell, state, started_us, host, port in first["servers"]
         )
-        listed = ListUpdate(first["index"], True, servers)
-        return InheritedState(channel, listener, first["drained"], first["known"], listed)
+        pool_list = ListUpdate(first["index"], True, servers)
+        return InheritedState(channel, listener, first["drained"], first["known"], pool_list)
     except (FileNotFoundError, ConnectionRefusedError):
-        pass  # nobody serves this address, or the one that did is gone: a plain start
-    except (OSError, ValueError, KeyError, TypeError) as trouble:
-        # Guards against a file that an earlier process left, and an elder that hangs or speaks otherwise.
-        log_event(logging.WARNING, "handover_unanswered", reason=str(trouble) or type(trouble).__name__)
+        pass  # no process serves this address, or the last one has ended: a plain start
+    except (OSError, ValueError, KeyError, TypeError) as error:
+        # Guards against a file that an earlier process left, and a previous process that hangs or sends
+        # something else.
+        log_event(logging.WARNING, "handover_unanswered", reason=str(error) or type(error).__name__)
     sock.close()
     return None
 
 
-class _Other:
+class _PeerProcess:
     """The other process of an upgrade, while both run."""
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
-        self.to_say: deque[Message] = deque()
+        self.outbox: deque[Message] = deque()
 
-    def flush(self, *more: Message) -> None:
-        """Say what waits, and more."""
-        while self.to_say:
-            self.channel.say(self.to_say.popleft())
+    def send_queued(self, *more: Message) -> None:
+        """Send the queued messages, then the given ones."""
+        while self.outbox:
+            self.channel.send(self.outbox.popleft())
         for message in more:
-            self.channel.say(message)
+            self.channel.send(message)
 
 
 class Handover:
-    """Both ends of an upgrade; this process may be the younger of one and the elder of the next."""
+    """Both roles in an upgrade; a process that has taken over hands over at the upgrade after that."""
 
     def __init__(
         self,
@@ -155,7 +161,7 @@
         servers: Directory,
         coordinator: Coordinator,
     ) -> None:
-        """Neither elder nor younger yet."""
+        """Join the parts whose state is handed over; no other process is connected yet."""
         self._known_digest = known_digest
         self._exchange = exchange
         self._callers = callers
@@ -164,89 +170,97 @@
         self._path: Path | None = None
         self._listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
-        self._elder: _Other | None = None
-        self._younger: _Other | None = None
-        self._accepts_here = Event()  # the elder has stopped accepting, or is gone
-        self._inherited: set[str] = set()
+        self._previous: _PeerProcess | None = None
+        self._next: _PeerProcess | None = None
+        self._previous_stopped = Event()  # the previous process has stopped accepting, or has ended
+        self._inherited_calls: set[str] = set()
 
-    # --- what the program asks for --------------------------------------------------------------------------
     def listen(self, path: Path) -> None:
-        """Wait for the next process; without it, that one will have to listen beside this one."""
+        """Await the next process; where the socket can't be opened, that process listens beside this one."""
         self._path = path
         self._listener = listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            path.unlink(missing_ok=True)  # guards against a file of an earlier process, which would stop this
-            _at(path, listener.bind)
+            path.unlink(missing_ok=True)  # guards against an earlier process's file, which would block bind
+            _with_short_path(path, listener.bind)
             path.chmod(0o600)
             listener.listen(4)
-        except OSError as trouble:
-            log_event(logging.WARNING, "handover_unavailable", reason=str(trouble))
+        except OSError as error:
+            log_event(logging.WARNING, "handover_unavailable", reason=str(error))
             listener.close()
         else:
             self._accepting = gevent.spawn(self._accept, listener)
 
-    def _unlisten(self) -> None:
-        """The younger waits for the next process now."""
+    def _stop_listening(self) -> None:
+        """Stop awaiting the next process: the one that took over does so now."""
         if self._accepting is not None and self._listener is not None:
             self._accepting.kill()
             self._listener.close()
             self._accepting = None
 
-    def inherit(self, legacy: InheritedState) -> None:
-        """Follow the elder from now on."""
-        self._elder = _Other(legacy.channel)
-        if legacy.drained:
+    def inherit(self, inherited: InheritedState) -> None:
+        """Apply the messages of the previous process from now on, and send it this process's changes."""
+        self._previous = _PeerProcess(inherited.channel)
+        if inherited.is_drained:
             self._callers.drain()
-        gevent.spawn(self._follow_elder, self._elder)
-        gevent.spawn(self._tell, self._elder, self._over)
+        gevent.spawn(self._read_previous, self._previous)
+        gevent.spawn(self._send_changes, self._previous, self._ended_inherited_calls)
 
     def take_over(self) -> None:
-        """Accepting has begun here: the elder is to stop; returns once it has."""
-        if self._elder is not None:
-            self._elder.to_say.append({"say": "took"})
-            self._accepts_here.wait(PATIENCE_S)
+        """Report that this process accepts, and wait a bounded time for the previous one to stop."""
+        if self._previous is not None:
+            self._previous.outbox.append({"say": "took"})
+            self._previous_stopped.wait(REPLY_TIMEOUT_S)
+
+    def forward_drain(self, is_drained: bool) -> None:
+        """Pass a drain or its end on to the other processes.
 
-    def forward_drain(self, on: bool) -> None:
-        """Guards against a drain that only one of two processes knows of."""
-        for other in (self._elder, self._younger):
-            if other is not None:
-                other.to_say.append({"say": "drain" if on else "activate"})
+        Guards against a drain that only one of two processes applies."""
+        for peer in (self._previous, self._next):
+            if peer is not None:
+                peer.outbox.append({"say": "drain" if is_drained else "activate"})
 
     def forward_release(self, call: str, cause: int) -> bool:
-        """Have the younger tell a caller, who has no connection here any more; False where there is none."""
-        if self._younger is None:
+        """Have the next process release a call whose caller left this one; False without a next process."""
+        if self._next is None:
             return False
-        self._younger.to_say.append({"say": "release", "call": call, "cause": cause})
+        self._next.outbox.append({"say": "release", "call": call, "cause": cause})
         return True
 
     def flush(self) -> None:
-        """Let the younger hear the last, before this process ends."""
-        if self._younger is not None:
-            gevent.sleep(3 * LOOK_S)
+        """Leave time for the last messages to reach the next process before this one ends."""
+        if self._next is not None:
+            gevent.sleep(3 * SEND_INTERVAL_S)
+
+    # The role of the previous process.
 
-    # --- as the elder ---------------------------------------------------------------------------------------
     def _accept(self, listener: socket.socket) -> None:
         for sock in accept_connections(listener, "handover"):
-            gevent.spawn(self._give, sock)
+            gevent.spawn(self._serve_next, sock)
 
-    def _give(self, sock: socket.socket) -> None:
-        """One younger process, until its connection ends."""
+    def _serve_next(self, sock: socket.socket) -> None:
+        """Hand over to a next process, until its connection ends; refuses a second one meanwhile."""
         listener = self._callers.listener
-        if self._younger is not None or listener is None:
+        if self._next is not None or listener is None:
             sock.close()
             return
-        self._younger = other = _Other(Channel(sock))
+        self._next = peer = _PeerProcess(Channel(sock))
         try:
             servers = [
-                [one.entry.server, one.entry.cell, one.entry.state.value, one.entry.started_us, *one.address]
-                for one in self._servers.listed_servers()
+                [
+                    server.entry.server,
+                    server.entry.cell,
+                    server.entry.state.value,
+                    server.entry.started_us,
+                    *server.address,
+                ]
+                for server in self._servers.listed_servers()
             ]
             first = {
                 "say": "list",
                 "known": self._known_digest,
                 "index": self._coordinator.index,
                 "servers": servers,
-                "zones": {one.entry.server: one.zone for one in self._servers.listed_servers()},
+                "zones": {server.entry.server: server.zone for server in self._servers.listed_servers()},
                 "drained": self._callers.drained,
             }
             # The socket goes with the first byte; the line may be longer than one write takes.
@@ -254,90 +268,92 @@
             plain_socket.send_fds(sock, [line[:1]], [listener.fileno()])
             sock.sendall(line[1:])
             log_event(logging.INFO, "handover_begun", standing_calls=self._exchange.established_calls)
-            gevent.spawn(self._tell, other, self._changes())
-            while (message := other.channel.hear()) is not None:
-                self._heard_from_younger(other, message)
-        except (OSError, ValueError, KeyError) as trouble:
-            log_event(logging.WARNING, "handover_broke", reason=str(trouble))
+            gevent.spawn(self._send_changes, peer, self._change_collector())
+            while (message := peer.channel.receive()) is not None:
+                self._handle_from_next(peer, message)
+        except (OSError, ValueError, KeyError) as error:
+            log_event(logging.WARNING, "handover_broke", reason=str(error))
         except Exception:
             log_exception("handover_failed")
-        self._younger = None
+        self._next = None
         sock.close()
         if self._callers.yielded and not self._callers.stopping:
-            # Guards against a younger process that dies: this one serves on.
+            # Guards against a next process that dies: this one accepts again.
             log_event(logging.WARNING, "handover_undone")
             self._callers.resume_accepting()
             if self._path is not None:
                 self.listen(self._path)
 
-    def _heard_from_younger(self, other: _Other, message: Message) -> None:
+    def _handle_from_next(self, peer: _PeerProcess, message: Message) -> None:
         match message["say"]:
             case "took":
                 self._callers.stop_accepting()
-                self._unlisten()
-                other.to_say.append({"say": "yielded"})
+                self._stop_listening()
+                peer.outbox.append({"say": "yielded"})
                 log_event(logging.INFO, "handed_over", open_calls=self._exchange.open_calls)
             case "over":
                 for call in message["calls"]:
                     self._exchange.end_established(call)
             case _:
-                self._heard(message)
+                self._handle_from_either(message)
 
-    def _changes(self) -> Callable[[], list[Message]]:
-        """What the younger has to know, each time as far as it is new."""
-        standing: set[str] = set()
-        opened: set[str] = set()
+    def _change_collector(self) -> Callable[[], list[Message]]:
+        """Return a function that returns, at each call, what has changed for the next process."""
+        established: set[str] = set()
+        open_ids: set[str] = set()
         held = -1
 
-        def look() -> list[Message]:
-            nonlocal standing, opened, held
+        def collect() -> list[Message]:
+            nonlocal established, open_ids, held
             now = {call: rest for call, *rest in self._exchange.list_established()}
-            begun = [[call, *now[call]] for call in now if call not in standing]
-            over = [call for call in standing if call not in now]
+            begun = [[call, *now[call]] for call in now if call not in established]
+            ended = [call for call in established if call not in now]
             open_now = self._exchange.open_ids()
-            said: list[Message] = [
-                {"say": "stands", "calls": begun[at : at + CALLS_A_LINE]}
-                for at in range(0, len(begun), CALLS_A_LINE)
+            messages: list[Message] = [
+                {"say": "stands", "calls": begun[at : at + CALLS_PER_MESSAGE]}
+                for at in range(0, len(begun), CALLS_PER_MESSAGE)
             ]
-            if over:
-                said.append({"say": "over", "calls": over})
-            if open_now != opened:
-                said.append({"say": "open", "calls": sorted(open_now)})
+            if ended:
+                messages.append({"say": "over", "calls": ended})
+            if open_now != open_ids:
+                messages.append({"say": "open", "calls": sorted(open_now)})
             if held != (connections := self._callers.connections):
-                said.append({"say": "held", "connections": connections})
-            standing, opened, held = set(now), open_now, connections
-            return said
+                messages.append({"say": "held", "connections": connections})
+            established, open_ids, held = set(now), open_now, connections
+            return messages
+
+        return collect
 
-        return look
+    # The role of the next process.
 
-    # --- as the younger -------------------------------------------------------------------------------------
-    def _follow_elder(self, other: _Other) -> None:
+    def _read_previous(self, peer: _PeerProcess) -> None:
+        """Apply the messages of the previous process until its connection ends, then do without it."""
         try:
-            while (message := other.channel.hear()) is not None:
-                self._heard_from_elder(message)
-        except (OSError, ValueError, KeyError) as trouble:
-            log_event(logging.WARNING, "handover_broke", reason=str(trouble))
+            while (message := peer.channel.receive()) is not None:
+                self._handle_from_previous(message)
+        except (OSError, ValueError, KeyError) as error:
+            log_event(logging.WARNING, "handover_broke", reason=str(error))
         except Exception:
             log_exception("handover_failed")
-        self._elder = None
-        other.channel.sock.close()
+        self._previous = None
+        peer.channel.sock.close()
         self._callers.previous_process_connections = 0
         self._exchange.open_elsewhere = set()
-        self._accepts_here.set()
-        log_event(logging.INFO, "elder_gone", inherited=len(self._inherited))
-        # Guards against a release that a session server wrote to a connection which ended with the elder: it
-        # sends it again on the next one that is opened.
+        self._previous_stopped.set()
+        log_event(logging.INFO, "elder_gone", inherited=len(self._inherited_calls))
+        # Guards against a lost release: a session server that wrote one to a connection which ended with the
+        # previous process sends it again on the next connection that is opened.
         self._servers.dial_servers_with_calls()
 
-    def _heard_from_elder(self, message: Message) -> None:
+    def _handle_from_previous(self, message: Message) -> None:
         match message["say"]:
             case "stands":
-                for call, server, number, stood_ms in message["calls"]:
-                    if self._exchange.inherit(call, server, number, stood_ms):
-                        self._inherited.add(call)
+                for call, server, number, since_ms in message["calls"]:
+                    if self._exchange.inherit(call, server, number, since_ms):
+                        self._inherited_calls.add(call)
             case "over":
                 for call in message["calls"]:
-                    self._inherited.discard(call)
+                    self._inherited_calls.discard(call)
                     self._exchange.end_established(call)
             case "open":
                 self._exchange.open_elsewhere = set(message["calls"])
@@ -346,31 +362,32 @@
             case "release":
                 self._callers.release(message["call"], message["cause"], None)
             case "yielded":
-                self._accepts_here.set()
+                self._previous_stopped.set()
             case _:
-                self._heard(message)
+                self._handle_from_either(message)
+
+    def _ended_inherited_calls(self) -> list[Message]:
+        """Report inherited calls that ended here: the previous process has nothing more to do for them."""
+        ended = [call for call in self._inherited_calls if not self._exchange.is_established(call)]
+        self._inherited_calls.difference_update(ended)
+        return [{"say": "over", "calls": ended}] if ended else []
 
-    def _over(self) -> list[Message]:
-        """Inherited calls that ended here: the elder has nothing more to do for them."""
-        over = [call for call in self._inherited if not self._exchange.is_established(call)]
-        self._inherited.difference_update(over)
-        return [{"say": "over", "calls": over}] if over else []
+    # Both roles.
 
-    # --- both -----------------------------------------------------------------------------------------------
-    def _heard(self, message: Message) -> None:
+    def _handle_from_either(self, message: Message) -> None:
         match message["say"]:
             case "drain":
                 self._callers.drain()
             case "activate":
                 self._callers.activate()
 
-    def _tell(self, other: _Other, look: Callable[[], list[Message]]) -> None:
-        """Tell the other process what has changed, for as long as it is there."""
+    def _send_changes(self, peer: _PeerProcess, collect: Callable[[], list[Message]]) -> None:
+        """Send queued messages and changes to the other process for as long as it is connected."""
         try:
-            while other in (self._elder, self._younger):
-                other.flush(*look())
-                gevent.sleep(LOOK_S)
+            while peer in (self._previous, self._next):
+                peer.send_queued(*collect())
+                gevent.sleep(SEND_INTERVAL_S)
         except OSError:
-            pass  # whoever reads from it sees its end
+            pass  # the greenlet that reads from the connection handles its end
         except Exception:
             log_exception("handover_failed")
