--- a/benchmarks/guards/calls.py
+++ b/benchmarks/guards/calls.py
@@ -31,7 +31,7 @@
     Guard("a whole frame is owed", "servers/coordinator.py", '    with gevent.Timeout(FRAME_TIMEOUT_S, TimeoutError("no whole frame")):\n', "    if True:\n", (LIST,)),
     Guard("an older event changes nothing", "servers/coordinator.py", "update.index > self.index:", "True:", (LIST,)),
     Guard("after standing still, read first", "__main__.py", "if late_ms > READ_FIRST_MS:", "if False:", (STILL,)),
-    Guard("SIGTERM before anything is taken", "__main__.py", "    signal.signal(signal.SIGTERM, _end_at_once)  # until there is something to answer\n", "", (PROCESS,)),
+    Guard("SIGTERM before anything is taken", "__main__.py", "    signal.signal(signal.SIGTERM, _end_at_once)  # until there are calls to answer\n", "", (PROCESS,)),
     Guard("half a set-up is awaited at the end", "__main__.py", " and self.callers.is_idle", "", (PROCESS,)),
     Guard("nothing is taken on the way out", "__main__.py", "        self.callers.close()\n", "", (PROCESS,)),
     Guard("a cold server's budget", "policy/cold_start.py", "    return len(pool.sends) < int(budget + pool.budget_rounding)", "    return True", (COLD,)),
