--- a/pearloom/admin/management.py
+++ b/pearloom/admin/management.py
@@ -1,6 +1,6 @@
-"""Where operators call: HTTP/1.1 at an address of its own, one call a connection.
+"""The HTTP/1.1 server for management calls: an address of its own, one call a connection.
 
-It knows no exchange and no call: whoever starts it names what can be asked (`Routes`).
+The server knows neither the exchange nor calls: its owner gives the paths and their handlers (`Routes`).
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from pearloom.core.logs import log_exception
 
 BACKLOG = 256
-CALL_S = 1.0  # from the connection to the last byte of the call: silent callers stay for seconds
-GOODBYE_S = 0.25  # for what a caller still sends after its answer: closing on it would reset the answer
-MAX_REQUEST_BYTES = 8 * 1024  # of a call, its body included, where nothing that is asked needs more
-MOST_AFTER = 256 * 1024  # read, and thrown away, of what a caller sends after its call
+REQUEST_TIMEOUT_S = 1.0  # from the connection to the request's end: silent clients stay for seconds
+CLOSE_TIMEOUT_S = 0.25  # for what a client sends after its request: closing on that resets the response
+MAX_REQUEST_BYTES = 8 * 1024  # body included, where no route needs more
+MAX_TRAILING_BYTES = 256 * 1024  # read and discarded of what a client sends after its request
 READ_BYTES = 4 * 1024
-MOST_CALLS_SHARE = 1 / 24  # x descriptors: calls at once; the callers of set-ups never use these
-LEAST_CALLS, MOST_CALLS = 8, 24
+CALLS_PER_DESCRIPTOR = 1 / 24  # calls at the same time; connections for set-ups never use these descriptors
+MIN_CALLS, MAX_CALLS = 8, 24
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """What is said to a call."""
+    """The response to a management call."""
 
     status: HTTPStatus
     text: str = ""
@@ -39,23 +39,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A call: the path's rest after a route that ends with a slash, and the body."""
+    """A management call: the rest of the path after a route that ends with a slash, and the body."""
 
     rest: str = ""
     body: bytes = b""
 
 
-Routes = dict[
-    str, dict[str, Callable[[HttpRequest], HttpResponse]]
-]  # by path (all below it, if it ends with a slash), by method
+# Handlers by path and by method; a path that ends with a slash stands for all paths below it.
+Routes = dict[str, dict[str, Callable[[HttpRequest], HttpResponse]]]
 
 
-def encode(answer: HttpResponse, with_body: bool = True) -> bytes:
-    """The answer's bytes; the connection ends with it."""
-    body = (answer.text or f"{answer.status.phrase.lower()}\n").encode("utf-8")
+def encode(response: HttpResponse, with_body: bool = True) -> bytes:
+    """Return the bytes of a response, after which the connection ends."""
+    body = (response.text or f"{response.status.phrase.lower()}\n").encode("utf-8")
     lines = [
-        f"HTTP/1.1 {answer.status.value} {answer.status.phrase}",
-        *([f"Allow: {answer.allow}"] if answer.allow else []),
+        f"HTTP/1.1 {response.status.value} {response.status.phrase}",
+        *([f"Allow: {response.allow}"] if response.allow else []),
         "Content-Type: text/plain; charset=utf-8",
         f"Content-Length: {len(body)}",
         "Connection: close",
@@ -64,98 +63,106 @@
 
 
 def max_concurrent_calls(descriptors: int) -> int:
-    """How many calls there may be at once, out of this many descriptors."""
-    return min(max(int(MOST_CALLS_SHARE * descriptors), LEAST_CALLS), MOST_CALLS)
+    """Return how many management calls may be open at once, given the process's number of descriptors."""
+    return min(max(int(CALLS_PER_DESCRIPTOR * descriptors), MIN_CALLS), MAX_CALLS)
 
 
-class _Call:
-    """One call as it is read; httptools calls the methods named `on_…`."""
+class _Connection:
+    """The connection of one management call; httptools calls the methods named `on_…`."""
 
-    def __init__(self, sock: socket.socket, most_bytes: int) -> None:
-        self.sock, self._most_bytes = sock, most_bytes
+    def __init__(self, sock: socket.socket, max_bytes: int) -> None:
+        self.sock, self._max_bytes = sock, max_bytes
         self.method = ""
-        self.whole = False
+        self.is_complete = False
         self._url = b""
-        self._taken = b""
+        self._received = b""
         self.body = b""
-        self._headed = False
-        self._too_long = False
+        self._has_headers = False
+        self._is_too_long = False
         self._parser = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
-        # Guards against a second call on the connection that changes what the first one asked.
-        self._url += b"" if self.whole else url
+        # Guards against a second request on the connection that changes the first one.
+        self._url += b"" if self.is_complete else url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._too_long |= name.lower() == b"content-length" and int(value) > self._most_bytes
+        self._is_too_long |= name.lower() == b"content-length" and int(value) > self._max_bytes
 
     def on_headers_complete(self) -> None:
-        if not self._headed:
-            self._headed, self.method = True, self._parser.get_method().decode("latin-1")
+        if not self._has_headers:
+            self._has_headers, self.method = True, self._parser.get_method().decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        self.body += b"" if self.whole else body
+        self.body += b"" if self.is_complete else body
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.is_complete = True
 
     @property
     def path(self) -> str:
-        """What was asked, without what may follow a question mark."""
+        """The path of the URL, without a query."""
         path: bytes = httptools.parse_url(self._url).path or b""
         return path.decode("latin-1")
 
     def read(self) -> HttpResponse | None:
-        """Read until the call is whole (None), or say what is wrong with it."""
+        """Read the request; None once it is complete, else the response that refuses it."""
         try:
-            while not self.whole and not self._too_long:
+            while not self.is_complete and not self._is_too_long:
                 data = self.sock.recv(READ_BYTES)
                 if not data:
                     return HttpResponse(HTTPStatus.BAD_REQUEST)
-                self._taken += data
-                if len(self._taken) > self._most_bytes:
-                    # Guards against calls that never end and fill the memory.
-                    return HttpResponse(self._oversized())
+                self._received += data
+                if len(self._received) > self._max_bytes:
+                    # Guards against requests that never end and fill the memory.
+                    return HttpResponse(self._oversize_status())
                 self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # an offer to speak something else, which is not taken up
+            pass  # an offer to change the protocol, which is ignored
         except httptools.HttpParserError:
-            return None if self.whole else HttpResponse(HTTPStatus.BAD_REQUEST)
+            return None if self.is_complete else HttpResponse(HTTPStatus.BAD_REQUEST)
         return (
-            HttpResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) if self._too_long and not self.whole else None
+            HttpResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            if self._is_too_long and not self.is_complete
+            else None
         )
 
-    def finish(self, answer: bytes) -> None:
-        """Write the answer, and read on until the caller has it: closing before would reset it."""
-        self.sock.sendall(answer)
+    def finish(self, response: bytes) -> None:
+        """Write the response and read until the client closes: an earlier close would reset the response."""
+        self.sock.sendall(response)
         self.sock.shutdown(socket.SHUT_WR)
-        left = MOST_AFTER
+        left = MAX_TRAILING_BYTES
         while left > 0 and (data := self.sock.recv(READ_BYTES)):
             left -= len(data)
-            # Guards against a caller that sends without end, and keeps everybody else from their turn.
+            # Guards against a client that sends without end and starves all other greenlets.
             gevent.sleep(0)
 
-    def _oversized(self) -> HTTPStatus:
-        if self._headed:
+    def _oversize_status(self) -> HTTPStatus:
+        if self._has_headers:
             return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
-        line_ended = b"\n" in self._taken
-        return HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE if line_ended else HTTPStatus.REQUEST_URI_TOO_LONG
+        has_request_line = b"\n" in self._received
+        return (
+            HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+            if has_request_line
+            else HTTPStatus.REQUEST_URI_TOO_LONG
+        )
 
 
 class Management:
-    """Listens for operators and answers them."""
+    """Accepts management calls and answers them."""
 
     def __init__(
-        self, routes: Routes, counters: Counters, descriptors: int, most_bytes: int = MAX_REQUEST_BYTES
+        self, routes: Routes, counters: Counters, descriptors: int, max_bytes: int = MAX_REQUEST_BYTES
     ) -> None:
-        """Listen to nobody yet. `most_bytes`: of a call, its body included."""
-        self._routes, self._most_bytes = routes, most_bytes
+        """Take the handlers and the limits; `listen` opens the socket.
+
+        `max_bytes`: of a request, its body included."""
+        self._routes, self._max_bytes = routes, max_bytes
         self._counters = counters
-        self._most = max_concurrent_calls(descriptors)
-        self._calls: dict[_Call, None] = {}  # the oldest first
+        self._max_calls = max_concurrent_calls(descriptors)
+        self._connections: dict[_Connection, None] = {}  # the oldest first
 
     def listen(self, address: Address) -> Address:
-        """Take calls from now on, and return where."""
+        """Accept management calls; return the address, with the port that the system chose for port 0."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -166,49 +173,53 @@
 
     def _accept(self, listener: socket.socket) -> None:
         for sock in accept_connections(listener, "management"):
-            call = _Call(sock, self._most_bytes)
+            connection = _Connection(sock, self._max_bytes)
             self._make_room()
-            self._calls[call] = None
-            gevent.spawn(self._serve, call)
-            # Guards against a crowd that connects faster than each of it is read.
+            self._connections[connection] = None
+            gevent.spawn(self._serve, connection)
+            # Guards against clients that connect faster than their requests are read.
             gevent.sleep(0)
 
     def _make_room(self) -> None:
-        """Guards against half calls that take all descriptors: the oldest of them goes for a new call."""
-        if len(self._calls) >= self._most:
-            oldest = next((call for call in self._calls if not call.whole), next(iter(self._calls)))
+        """Close the oldest connection, an incomplete one first, where the limit is reached.
+
+        Guards against incomplete requests that take all descriptors."""
+        if len(self._connections) >= self._max_calls:
+            oldest = next(
+                (one for one in self._connections if not one.is_complete), next(iter(self._connections))
+            )
             self._counters.add("management_calls_closed")
-            self._calls.pop(oldest)
+            self._connections.pop(oldest)
             oldest.sock.close()
 
-    def _serve(self, call: _Call) -> None:
-        """One call, from its first byte to the end of its connection; exceptions stop here."""
+    def _serve(self, connection: _Connection) -> None:
+        """Serve one connection from its first byte to its end; exceptions end here."""
         try:
-            wrong = gevent.with_timeout(
-                CALL_S, call.read, timeout_value=HttpResponse(HTTPStatus.REQUEST_TIMEOUT)
+            refusal = gevent.with_timeout(
+                REQUEST_TIMEOUT_S, connection.read, timeout_value=HttpResponse(HTTPStatus.REQUEST_TIMEOUT)
             )
-            answer = wrong or self._answer(call)
-            self._counters.add("management_calls" if wrong is None else "management_calls_bad")
-            say = encode(answer, call.method != "HEAD")
-            gevent.with_timeout(GOODBYE_S, call.finish, say, timeout_value=None)
+            response = refusal or self._respond(connection)
+            self._counters.add("management_calls" if refusal is None else "management_calls_bad")
+            data = encode(response, connection.method != "HEAD")
+            gevent.with_timeout(CLOSE_TIMEOUT_S, connection.finish, data, timeout_value=None)
         except OSError:
-            pass  # the caller is gone, or had to make room
+            pass  # the client is gone, or its connection was closed to make room
         except Exception:
             log_exception("management_failed")
         finally:
-            self._calls.pop(call, None)
-            call.sock.close()
+            self._connections.pop(connection, None)
+            connection.sock.close()
 
-    def _answer(self, call: _Call) -> HttpResponse:
+    def _respond(self, connection: _Connection) -> HttpResponse:
         try:
-            path = call.path
+            path = connection.path
         except httptools.HttpParserInvalidURLError:
             return HttpResponse(HTTPStatus.BAD_REQUEST)
-        above, slash, rest = path.rpartition("/")
+        parent, slash, rest = path.rpartition("/")
         if (methods := self._routes.get(path)) is not None:
             rest = ""
-        elif (methods := self._routes.get(above + slash)) is None or not rest:
+        elif (methods := self._routes.get(parent + slash)) is None or not rest:
             return HttpResponse(HTTPStatus.NOT_FOUND)
-        if call.method not in methods:
+        if connection.method not in methods:
             return HttpResponse(HTTPStatus.METHOD_NOT_ALLOWED, allow=", ".join(methods))
-        return methods[call.method](HttpRequest(rest, call.body))
+        return methods[connection.method](HttpRequest(rest, connection.body))
--- a/pearloom/admin/members.py
+++ b/pearloom/admin/members.py
@@ -1,4 +1,4 @@
-"""The operators' calls for the fleet's members: who is in, and taking one out that will not come back."""
+"""Management calls for the fleet's members: lists them, and removes one that will not return."""
 
 from __future__ import annotations
 
@@ -11,33 +11,35 @@
 
 
 class MemberCalls:
-    """Answers the calls."""
+    """Handles the management calls under /v1/members."""
 
     def __init__(self, host: MemberHost) -> None:
-        """Asks this softswitch's own view."""
+        """Take the host that holds this softswitch's view of the members."""
         self._host = host
 
     def routes(self) -> Routes:
-        """What can be asked."""
+        """Return the handlers by path and method."""
         return {
-            "/v1/members": {"GET": lambda ask: self._show()},
+            "/v1/members": {"GET": lambda request: self._show()},
             "/v1/members/": {"DELETE": self._remove},
         }
 
     def _show(self) -> HttpResponse:
         view = self._host.view
         lines = [
-            f"member={one.name} condition={one.condition.value} zone={one.zone or '-'}"
-            f" incarnation={one.incarnation}\n"
-            for one in view.members
+            f"member={member.name} condition={member.condition.value} zone={member.zone or '-'}"
+            f" incarnation={member.incarnation}\n"
+            for member in view.members
         ]
         return HttpResponse(HTTPStatus.OK, "".join([f"view={view.revision}\n", *lines]))
 
-    def _remove(self, ask: HttpRequest) -> HttpResponse:
-        """Guards against one that is gone for good and counts as out for ever; not one that may live."""
-        member = self._host.view.find(ask.rest)
+    def _remove(self, request: HttpRequest) -> HttpResponse:
+        """Remove a member that is away or whose record is unreadable; others may still be live.
+
+        Guards against a member that is gone for good and counts as out of service for ever."""
+        member = self._host.view.find(request.rest)
         if member is None:
-            return HttpResponse(HTTPStatus.NOT_FOUND, f"no member {ask.rest[:64]!r}\n")
+            return HttpResponse(HTTPStatus.NOT_FOUND, f"no member {request.rest[:64]!r}\n")
         if member.condition not in (Condition.AWAY, Condition.UNREADABLE):
             return HttpResponse(HTTPStatus.CONFLICT, f"{member.name} is {member.condition.value}, not away\n")
         outcome = self._host.remove(member.name)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' address, where a recording can't play the caller."""
+"""The management server, in a case that a recorded script of messages can't express."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import gevent
 
-from pearloom.admin.management import MAX_REQUEST_BYTES, MOST_AFTER, READ_BYTES, _Call
+from pearloom.admin.management import MAX_REQUEST_BYTES, MAX_TRAILING_BYTES, READ_BYTES, _Connection
 
 
-class Endless:
-    """A caller that always has something to read, as one at full speed does."""
+class EndlessClient:
+    """A fake socket whose client sends without end: it always has data to read."""
 
     def __init__(self) -> None:
         self.read = 0
@@ -21,22 +21,22 @@
     def shutdown(self, how: int) -> None:
         pass
 
-    def recv(self, most: int) -> bytes:
-        self.read += most
-        assert self.read <= MOST_AFTER + READ_BYTES, "read on for ever"
-        return bytes(most)
+    def recv(self, size: int) -> bytes:
+        self.read += size
+        assert self.read <= MAX_TRAILING_BYTES + READ_BYTES, "reading has no limit"
+        return bytes(size)
 
 
-def test_a_caller_that_sends_without_end_keeps_nobody_from_their_turn() -> None:
-    endless: Any = Endless()
-    turns: list[int] = []
+def test_a_client_that_sends_without_end_starves_no_other_greenlet() -> None:
+    client: Any = EndlessClient()
+    seen: list[int] = []
 
-    def take_turns() -> None:
+    def watch() -> None:
         for _ in range(5):
-            turns.append(endless.read)
+            seen.append(client.read)
             gevent.sleep(0)
 
-    other = gevent.spawn(take_turns)
-    _Call(endless, MAX_REQUEST_BYTES).finish(b"answer")
-    other.join(5)
-    assert len(set(turns)) == 5 and max(turns) < MOST_AFTER
+    watcher = gevent.spawn(watch)
+    _Connection(client, MAX_REQUEST_BYTES).finish(b"answer")
+    watcher.join(5)
+    assert len(set(seen)) == 5 and max(seen) < MAX_TRAILING_BYTES
