--- a/pearloom/admin/fleet.py
+++ b/pearloom/admin/fleet.py
@@ -1,4 +1,4 @@
-"""What this softswitch does with the others of its fleet: link, membership, turns, rules, their calls."""
+"""A softswitch's part in its fleet: store link, membership, maintenance, rules and their management calls."""
 
 from __future__ import annotations
 
@@ -29,99 +29,103 @@
 from pearloom.rules.table import LocalContext
 from pearloom.servers.discovery import PoolView
 
-LOOK_S = 0.005
+STORE_CHECK_S = 0.005
 
 
 class FleetServices:
-    """The parts, joined; nothing is asked of the store before `prepare`."""
+    """Joins these parts; nothing is read from the store before `prepare`."""
 
     def __init__(
         self,
         store: StoreSettings,
-        turns: MaintenanceSettings,
+        maintenance: MaintenanceSettings,
         rules: RulesSettings,
         config: Config,
         exchange: Exchange,
         counters: Counters,
-        listing: PoolView,
+        pool_view: PoolView,
         drain: Callable[[], object],
         activate: Callable[[], object],
     ) -> None:
-        """An incarnation is the wall clock's ms at the start: it only has to grow from life to life."""
-        self._listing, self._config = listing, config
+        """Build and join the parts.
+
+        The incarnation is the wall clock's ms at the start: it only has to grow from start to start."""
+        self._pool_view, self._config = pool_view, config
         self._store = EtcdStore(store)
         self._link = Link(self._store, store, counters, SystemRandom(), steady_ms)
         self._member = MemberHost(
-            self._link, counters, config.name, turns.zone, int(time.time() * 1000), turns.heartbeat_ms,
-            lambda: (exchange.decider.limits, exchange.open_calls), steady_ms,
+            self._link, counters, config.name, maintenance.zone, int(time.time() * 1000),
+            maintenance.heartbeat_ms, lambda: (exchange.decider.limits, exchange.open_calls), steady_ms,
         )  # fmt: skip
-        context = LocalContext(config.class_names, config.tenant_names, turns.zone, self._cells())
+        context = LocalContext(config.class_names, config.tenant_names, maintenance.zone, self._cells())
         self._rules = RulesHost(self._link, counters, config.name, context, rules, self._cells)
         self._rollout = RolloutHost(
             self._link,
             self._member,
             self._rules,
             counters,
-            turns.zone,
+            maintenance.zone,
             lambda: exchange.decider.failed_decisions,
             steady_ms,
         )
-        hands = MaintenanceCallbacks(
+        callbacks = MaintenanceCallbacks(
             drain,
             activate,
             is_idle=lambda: not exchange.open_calls + exchange.established_calls,
-            withhold=listing.withhold,
-            servers=lambda: listing.listed.values(),
+            withhold=pool_view.withhold,
+            servers=lambda: pool_view.listed.values(),
             halted=lambda: self._rollout.has_recent_halt,
         )
-        self._turns = MaintenanceHost(self._link, self._member, counters, turns.limits, hands, steady_ms)
-        self._work = MaintenanceCalls(self._turns, config.name)
-        self._members = MemberCalls(self._member)
-        self._asked = RulesCalls(
+        self._maintenance = MaintenanceHost(
+            self._link, self._member, counters, maintenance.limits, callbacks, steady_ms
+        )
+        self._maintenance_calls = MaintenanceCalls(self._maintenance, config.name)
+        self._member_calls = MemberCalls(self._member)
+        self._rules_calls = RulesCalls(
             self._link, self._member, self._rules, self._rollout, rules.rollout, self._known
         )
         self.max_request_bytes = MAX_RULES_BYTES + MAX_REQUEST_BYTES
-        listing.on_list_event.append(self._rules.update_zone_cells)
+        pool_view.on_list_event.append(self._rules.update_zone_cells)
         exchange.reporter.router = self._rules
 
     def _cells(self) -> Mapping[str, frozenset[int]]:
         cells: dict[str, set[int]] = defaultdict(set)
-        for server in self._listing.listed.values():
+        for server in self._pool_view.listed.values():
             cells[server.zone].add(server.entry.cell)
-        return {zone: frozenset(held) for zone, held in cells.items() if zone}
+        return {zone: frozenset(numbers) for zone, numbers in cells.items() if zone}
 
     def _known(self) -> KnownNames:
         zones = {*self._config.zone_names, *(one.zone for one in self._member.view.members if one.zone)}
         classes = self._config.settings.classes
         return KnownNames(
             tuple(self._config.class_names), tuple(self._config.tenant_names), tuple(sorted(zones)),
-            tuple(kind.cells for kind in classes),
+            tuple(call_class.cells for call_class in classes),
         )  # fmt: skip
 
     def routes(self) -> Routes:
-        """What operators can ask."""
-        return self._work.routes() | self._members.routes() | self._asked.routes()
+        """Return the handlers of all management calls of the fleet."""
+        return self._maintenance_calls.routes() | self._member_calls.routes() | self._rules_calls.routes()
 
     def prepare(self) -> None:
-        """Before the first call: the rules in force, from the store if it answers in time, else from disk."""
+        """Load the rules in force before the first call, from disk where the store answers too late."""
         self._link.start()
         self._rules.prepare(self._await_store)
 
-    def _await_store(self, most_ms: float) -> bool:
-        until = steady_ms() + most_ms
+    def _await_store(self, timeout_ms: float) -> bool:
+        until = steady_ms() + timeout_ms
         while self._link.snapshot is None and steady_ms() < until:
-            gevent.sleep(LOOK_S)
+            gevent.sleep(STORE_CHECK_S)
         return self._link.snapshot is not None
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start membership, maintenance, rules and rollout."""
         self._member.start()
-        self._turns.start()
+        self._maintenance.start()
         self._rules.start()
         self._rollout.start()
 
     def finish(self) -> None:
-        """This process ends: say so, and give the lease back."""
+        """Announce the end of this process and release its lease."""
         self._member.finish()
         self._link.close()
         self._store.close()
--- a/pearloom/admin/rules.py
+++ b/pearloom/admin/rules.py
@@ -1,9 +1,9 @@
-"""The operators' calls for routing rules: propose, undo, see what is in force and how a rollout stands.
+"""Management calls for routing rules: propose, undo, list what is in force, and show a rollout's progress.
 
 | call | what it does |
 | --- | --- |
-| `POST /v1/rules` | proposes a set of rules, on the head that it expects; a rollout, or at once |
-| `POST /v1/rules/undo` | the version before, or a named one, on every softswitch; ends a rollout |
+| `POST /v1/rules` | proposes a rule set on the head that the operator expects; in stages, or at once |
+| `POST /v1/rules/undo` | puts the version before, or a named one, in force everywhere; ends a rollout |
 | `GET /v1/rules` | head, stage, each softswitch's version, evidence, history |
 | `GET /v1/rules/VERSION` | a version's rules |
 """
@@ -31,9 +31,9 @@
 from pearloom.rules.records import FORMAT, Rule, RulesError, RuleSet, canonical
 from pearloom.rules.settings import RolloutSettings
 
-SHOWN_LOG = 16
-SHOWN_MEMBERS = 20  # of a stage, in one line
-MAX_RULES_BYTES = 48 * 1024  # of one call: with the rest of the version's key it fits the store's value
+SHOWN_LOG_ENTRIES = 16
+SHOWN_MEMBERS = 20  # names of a stage's members in one line
+MAX_RULES_BYTES = 48 * 1024  # of one call; with a version's other fields it fits into one stored value
 
 
 class _Proposal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -54,7 +54,7 @@
 
 
 class RulesCalls:
-    """Answers the calls; each may wait for the store, in a greenlet of its own."""
+    """Handles the management calls under /v1/rules; each may wait for the store, in its own greenlet."""
 
     def __init__(
         self,
@@ -65,182 +65,199 @@
         settings: RolloutSettings,
         known: Callable[[], KnownNames],
     ) -> None:
-        """`known`: what rules may name at this moment."""
+        """Take the hosts that the calls read and write; `known` returns the names that rules may use now."""
         self._link, self._member, self._rules, self._rollout = link, member, rules, rollout
         self._settings, self._known = settings, known
 
     def routes(self) -> Routes:
-        """What can be asked."""
+        """Return the handlers by path and method."""
         return {
-            "/v1/rules": {"GET": lambda ask: self._show(), "POST": self._propose},
+            "/v1/rules": {"GET": lambda request: self._show(), "POST": self._propose},
             "/v1/rules/undo": {"POST": self._undo},
             "/v1/rules/": {"GET": self._version},
         }
 
-    # --- reading --------------------------------------------------------------------------------------------
+    # Reading.
+
     def _show(self) -> HttpResponse:
-        there = self._rules.head_state
-        if there is None:
+        state = self._rules.head_state
+        if state is None:
             return store_unavailable()
-        return HttpResponse(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(there)))
+        return HttpResponse(HTTPStatus.OK, "".join(f"{line}\n" for line in self._lines(state)))
 
-    def _lines(self, there: HeadState) -> Iterator[str]:
-        head, followed = there.head, self._rollout.confirmation_status(there)
+    def _lines(self, state: HeadState) -> Iterator[str]:
+        head, confirmed = state.head, self._rollout.confirmation_status(state)
         yield (
             f"head={head.number} version={head.version} before={head.before}"
-            f" done={str(followed.is_complete).lower()} fresh={str(self._link.is_fresh).lower()}"
+            f" done={str(confirmed.is_complete).lower()} fresh={str(self._link.is_fresh).lower()}"
         )
         if self._rules.divergence:
-            seen = self._rules.applied_head.number if self._rules.applied_head else 0
-            yield f"diverged seen={seen} told={_quoted(self._rules.divergence)}"
-        yield from (f"unreadable={key}" for key in there.unreadable)
+            applied = self._rules.applied_head.number if self._rules.applied_head else 0
+            yield f"diverged seen={applied} told={_quoted(self._rules.divergence)}"
+        yield from (f"unreadable={key}" for key in state.unreadable)
         if head.rollout is not None:
-            one = head.rollout
-            more = len(one.members) - SHOWN_MEMBERS
-            names = ",".join(one.members[:SHOWN_MEMBERS]) + (f",+{more}" if more > 0 else "")
+            shown = head.rollout
+            more = len(shown.members) - SHOWN_MEMBERS
+            names = ",".join(shown.members[:SHOWN_MEMBERS]) + (f",+{more}" if more > 0 else "")
             yield (
-                f"rollout={one.id} version={one.version} stage={one.stage + 1}/{len(one.stages)}"
-                f" members={names} halted={_quoted(one.halted)}"
+                f"rollout={shown.id} version={shown.version} stage={shown.stage + 1}/{len(shown.stages)}"
+                f" members={names} halted={_quoted(shown.halted)}"
             )
-            yield from self._evidence(there)
-        said = self._rollout.confirmations()
+            yield from self._evidence(state)
+        confirmations = self._rollout.confirmations()
         for member in self._member.view.members:
-            at = said.get(member.name)
-            number, version, left = (at.number, at.version, at.left) if at else (0, "-", 0)
-            waits = "waits" if member.name in followed.pending else "has"
-            state = "away" if member.name in followed.absent else waits
+            seen = confirmations.get(member.name)
+            number, version, left = (seen.number, seen.version, seen.left) if seen else (0, "-", 0)
+            waiting = "waits" if member.name in confirmed.pending else "has"
+            progress = "away" if member.name in confirmed.absent else waiting
             yield (
-                f"member={member.name} condition={member.condition.value} {state}={head.number}"
+                f"member={member.name} condition={member.condition.value} {progress}={head.number}"
                 f" at={number} version={version} left={left}"
             )
-        for step in sorted(there.log, key=lambda step: -step.number)[:SHOWN_LOG]:
+        for entry in sorted(state.log, key=lambda entry: -entry.number)[:SHOWN_LOG_ENTRIES]:
             yield (
-                f"log={step.number} did={step.write.value} version={step.version} before={step.before}"
-                f" by={step.by} author={_quoted(step.author)} reason={_quoted(step.reason)}"
-                f" at_ms={step.at_ms}"
+                f"log={entry.number} did={entry.write.value} version={entry.version} before={entry.before}"
+                f" by={entry.by} author={_quoted(entry.author)} reason={_quoted(entry.reason)}"
+                f" at_ms={entry.at_ms}"
             )
 
-    def _evidence(self, there: HeadState) -> Iterator[str]:
-        judged, unreadable, told = self._rollout.judge_current_stage(there)
-        assert there.head.rollout is not None, "asked for a rollout alone"
+    def _evidence(self, state: HeadState) -> Iterator[str]:
+        judgement, unreadable, evidence = self._rollout.judge_current_stage(state)
+        assert state.head.rollout is not None, "evidence exists for a rollout only"
         yield from (f"unreadable={key}" for key in unreadable)
-        for one in judged.findings:
-            low, high = one.ratio_bounds(there.head.rollout.terms.rate)
+        for one in judgement.findings:
+            low, high = one.ratio_bounds(state.head.rollout.terms.rate)
             yield (
                 f"evidence class={one.class_name} end={one.end.value} new={one.bad_new}/{one.new}"
                 f" old={one.bad_old}/{one.old} ratio_low={low:.2f} ratio_high={high:.2f}"
                 f" log_evidence={one.log_evidence:.2f}"
             )
-        for name, version in (("new", there.head.rollout.version), ("old", there.head.version)):
-            yield from _delays(name, version, told)
+        for name, version in (("new", state.head.rollout.version), ("old", state.head.version)):
+            yield from _delays(name, version, evidence)
 
-    def _version(self, ask: HttpRequest) -> HttpResponse:
-        rules = self._rules.rules_of(ask.rest)
+    def _version(self, request: HttpRequest) -> HttpResponse:
+        rules = self._rules.rules_of(request.rest)
         if rules is None:
-            return HttpResponse(HTTPStatus.NOT_FOUND, f"no version {ask.rest[:40]!r} is kept here\n")
+            return HttpResponse(HTTPStatus.NOT_FOUND, f"no version {request.rest[:40]!r} is kept here\n")
         return HttpResponse(HTTPStatus.OK, canonical(rules).decode("utf-8") + "\n")
 
-    # --- writing --------------------------------------------------------------------------------------------
-    def _propose(self, ask: HttpRequest) -> HttpResponse:
+    # Writing.
+
+    def _propose(self, request: HttpRequest) -> HttpResponse:
         try:
-            told: _Proposal = msgspec.json.decode(ask.body, type=_Proposal)
-        except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            return bad_request(str(trouble))
-        rules = RuleSet(FORMAT, told.rules)
-        if (wrong := _words(told.reason, told.author)) or (wrong := _stages(told.stages)):
-            return bad_request(wrong)
-        if told.at_once and told.stages:
+            proposal: _Proposal = msgspec.json.decode(request.body, type=_Proposal)
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            return bad_request(str(error))
+        rules = RuleSet(FORMAT, proposal.rules)
+        if (fault := _text_fault(proposal.reason, proposal.author)) or (
+            fault := _stages_fault(proposal.stages)
+        ):
+            return bad_request(fault)
+        if proposal.at_once and proposal.stages:
             return bad_request("$.stages: none where the rules are to be in force at once")
-        found = find_errors(rules, self._known())
-        if found:
-            more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
-            return bad_request(found[0] + more)
-        wanted = () if told.at_once else told.stages or self._settings.stages
+        errors = find_errors(rules, self._known())
+        if errors:
+            more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
+            return bad_request(errors[0] + more)
+        wanted_stages = () if proposal.at_once else proposal.stages or self._settings.stages
         zones = {one.name: one.zone for one in self._member.view.live_members}
-        if wanted and len(zones) < 2:
-            # Guards against a rollout that has nobody to be compared with, and so can show nothing.
+        if wanted_stages and len(zones) < 2:
+            # Guards against a rollout without a control group, which can give no evidence.
             return conflict("a rollout needs two live softswitches at least: ask for it at_once instead")
-        stay = self._settings.stay if told.stay is None else told.stay
+        stay = self._settings.stay if proposal.stay is None else proposal.stay
 
-        def attempt(there: HeadState, asked: Request, seen: int) -> Transaction:
-            begun = max(there.head.number, seen) + 1
-            members = stages.members(zones, begun, wanted[0]) if wanted else ()
+        def compute(state: HeadState, origin: Request, seen: int) -> Transaction:
+            number = max(state.head.number, seen) + 1
+            members = stages.members(zones, number, wanted_stages[0]) if wanted_stages else ()
             terms = self._settings.terms
-            return steps.propose(there, rules, asked, told.expected, wanted, members, terms, stay, seen)
+            return steps.propose(
+                state, rules, origin, proposal.expected, wanted_stages, members, terms, stay, seen
+            )
 
-        return self._write(attempt, told.reason, told.author)
+        return self._write(compute, proposal.reason, proposal.author)
 
-    def _undo(self, ask: HttpRequest) -> HttpResponse:
+    def _undo(self, request: HttpRequest) -> HttpResponse:
         try:
-            told: _Undo = msgspec.json.decode(ask.body or b"{}", type=_Undo)
-        except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            return bad_request(str(trouble))
-        if wrong := _words(told.reason, told.author):
-            return bad_request(wrong)
+            undo: _Undo = msgspec.json.decode(request.body or b"{}", type=_Undo)
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            return bad_request(str(error))
+        if fault := _text_fault(undo.reason, undo.author):
+            return bad_request(fault)
         return self._write(
-            lambda there, asked, seen: steps.undo(there, asked, told.expected, told.to, seen),
-            told.reason,
-            told.author,
+            lambda state, origin, seen: steps.undo(state, origin, undo.expected, undo.to, seen),
+            undo.reason,
+            undo.author,
         )
 
     def _write(
-        self, attempt: Callable[[HeadState, Request, int], Transaction], reason: str, author: str
+        self, compute: Callable[[HeadState, Request, int], Transaction], reason: str, author: str
     ) -> HttpResponse:
-        """Compute, try, and compute again where others wrote in between.
+        """Compute and commit a change, and repeat both where others wrote in between.
 
-        The tag is drawn once: that the log has it proves that this call won, whatever was lost."""
-        asked = Request(self._member.name, secrets.token_hex(8), reason, author, int(time.time() * 1000))
+        The tag is drawn once: a log entry with it proves that this call won, even if the store's answer to
+        it was lost."""
+        origin = Request(self._member.name, secrets.token_hex(8), reason, author, int(time.time() * 1000))
 
         def read() -> HeadState | HttpResponse:
-            there = self._rules.head_state
-            if there is None or not self._link.is_fresh:
+            state = self._rules.head_state
+            if state is None or not self._link.is_fresh:
                 return store_unavailable()
-            return _won(there, asked.tag) or there
+            return _won(state, origin.tag) or state
 
-        def settled(outcome: Outcome) -> HttpResponse:
+        def respond(outcome: Outcome) -> HttpResponse:
             self._link.read_again()
-            there = self._rules.head_state
-            if there is not None and (won := _won(there, asked.tag)) is not None:
+            state = self._rules.head_state
+            if state is not None and (won := _won(state, origin.tag)) is not None:
                 return won
             if outcome is Outcome.UNKNOWN:
                 text = "the store's answer was lost: look at the head before asking again\n"
                 return HttpResponse(HTTPStatus.ACCEPTED, text)
             return HttpResponse(HTTPStatus.OK, "ok\n")
 
-        def step(there: HeadState) -> Transaction:
+        def compute_on(state: HeadState) -> Transaction:
             seen = self._rules.applied_head.number if self._rules.applied_head is not None else 0
-            return attempt(there, asked, seen)
+            return compute(state, origin, seen)
 
-        return write_with_retries(read, step, self._link.commit, self._link.read_again, settled, RulesError)
+        return write_with_retries(
+            read, compute_on, self._link.commit, self._link.read_again, respond, RulesError
+        )
 
 
-def _won(there: HeadState, tag: str) -> HttpResponse | None:
-    """The answer to a step that the history shows."""
-    step = next((one for one in there.log if one.tag == tag), None)
-    if step is None:
+def _won(state: HeadState, tag: str) -> HttpResponse | None:
+    """Return the response to a change whose tag is in the log, None where it is not."""
+    entry = next((one for one in state.log if one.tag == tag), None)
+    if entry is None:
         return None
-    return HttpResponse(HTTPStatus.OK, f"head={step.number} did={step.write.value} version={step.version}\n")
-
-
-def _delays(name: str, version: str, told: list[Evidence]) -> Iterator[str]:
-    for kind in sorted({kind for one in told for kind in one.versions.get(version, {})}):
-        held = [one.versions[version][kind].delays for one in told if kind in one.versions.get(version, {})]
-        whole = merge_delays(text for text in held if text)
-        p50, p95, p99 = (whole.get_value_at_percentile(share) for share in (50, 95, 99))
-        yield f"delay class={kind} under={name} p50_ms={p50} p95_ms={p95} p99_ms={p99}"
-
-
-def _words(reason: str, author: str) -> str:
-    for name, text, most in (("reason", reason, 200), ("author", author, 64)):
-        if len(text) > most or not text.isprintable():
-            return f"$.{name}: has to be at most {most} printable signs"
+    return HttpResponse(
+        HTTPStatus.OK, f"head={entry.number} did={entry.write.value} version={entry.version}\n"
+    )
+
+
+def _delays(name: str, version: str, evidence: list[Evidence]) -> Iterator[str]:
+    for class_name in sorted(
+        {class_name for part in evidence for class_name in part.versions.get(version, {})}
+    ):
+        encoded = [
+            part.versions[version][class_name].delays
+            for part in evidence
+            if class_name in part.versions.get(version, {})
+        ]
+        merged = merge_delays(text for text in encoded if text)
+        p50, p95, p99 = (merged.get_value_at_percentile(share) for share in (50, 95, 99))
+        yield f"delay class={class_name} under={name} p50_ms={p50} p95_ms={p95} p99_ms={p99}"
+
+
+def _text_fault(reason: str, author: str) -> str:
+    for name, text, max_length in (("reason", reason, 200), ("author", author, 64)):
+        if len(text) > max_length or not text.isprintable():
+            return f"$.{name}: has to be at most {max_length} printable signs"
     return ""
 
 
-def _stages(told: tuple[float, ...]) -> str:
-    if len(told) > steps.MAX_STAGES or not all(0.0 <= share < 1.0 for share in told):
+def _stages_fault(shares: tuple[float, ...]) -> str:
+    if len(shares) > steps.MAX_STAGES or not all(0.0 <= share < 1.0 for share in shares):
         return f"$.stages: at most {steps.MAX_STAGES} shares from 0 (one softswitch) to below 1"
-    return "" if list(told) == sorted(set(told)) else "$.stages: have to grow"
+    return "" if list(shares) == sorted(set(shares)) else "$.stages: have to grow"
 
 
 def _quoted(text: str) -> str:
