--- a/benchmarks/guards/fleet.py
+++ b/benchmarks/guards/fleet.py
@@ -68,6 +68,6 @@
     Guard("a machine has one turn", "maintenance/records.py", "if (slot.kind, slot.machine) in names:", "if False:", (ORDER,)),
     Guard("what is withheld stays so", "servers/discovery.py", "self._tell(kind, [apply_withholding(server, self.withheld) for server in servers])", "self._tell(kind, servers)", ("tests/test_discovery.py",)),
     Guard("one that woke takes calls again", "maintenance/host.py", "and not slot.note.startswith(steps.DIED)", "", (f"{FLEET}::test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant",)),
-    Guard("depth of the operator's file", "records/language.py", "if depth > MOST_DEPTH:", "if False:", ("tests/test_records.py",)),
-    Guard("fields that nobody asked for", "records/check.py", "if key not in self._asked:", "if False:", ("tests/test_records.py",)),
+    Guard("depth of the operator's file", "records/language.py", "if depth > MAX_DEPTH:", "if False:", ("tests/test_records.py",)),
+    Guard("unknown fields", "records/check.py", "if key not in self._read_keys:", "if False:", ("tests/test_records.py",)),
 )  # fmt: skip
--- a/pearloom/records/__init__.py
+++ b/pearloom/records/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: typed records in a form close to CUE, of which JSON is a part."""
+"""Reading of the operator's file: typed records in a subset of CUE, which includes JSON."""
 
 from pearloom.records.check import Fields
 from pearloom.records.language import RecordError, Struct, Value, parse
--- a/pearloom/records/check.py
+++ b/pearloom/records/check.py
@@ -1,4 +1,4 @@
-"""Typed reading of a record: each field asked for by name, type and bounds, and none left over."""
+"""Typed access to a record: fields are read by name, type and bounds, and unknown ones are rejected."""
 
 from __future__ import annotations
 
@@ -13,108 +13,120 @@
 
 
 class Fields:
-    """The fields of one record, closed: `done` refuses those that nobody asked for."""
+    """The fields of one record; `reject_unknown` raises an error for those that were never read."""
 
     def __init__(self, struct: Struct, name: str, path: str = "") -> None:
-        """The record `path` of the file `name`."""
+        """Take a record: `name` is the file's, `path` the record's path in it, empty for the whole file."""
         self._struct, self._name, self._path = struct, name, path
-        self._asked: dict[str, None] = {}
+        self._read_keys: dict[str, None] = {}
 
-    def _full(self, key: str) -> str:
+    def _full_path(self, key: str) -> str:
         return f"{self._path}.{key}" if self._path else key
 
     def error(self, key: str, what: str) -> RecordError:
-        """An error at a field's place."""
-        held = self._struct.fields.get(key)
-        line = self._struct.line if held is None else held.line
-        return RecordError(f"{self._name}:{line}: {self._full(key)} {what}")
+        """Return an error with the file, line and path of a field."""
+        value = self._struct.fields.get(key)
+        line = self._struct.line if value is None else value.line
+        return RecordError(f"{self._name}:{line}: {self._full_path(key)} {what}")
 
     def _get(self, key: str) -> Value | Struct | None:
-        self._asked[key] = None
+        self._read_keys[key] = None
         return self._struct.fields.get(key)
 
-    def _plain(self, key: str, kind: type | tuple[type, ...], wanted: str) -> object:
-        held = self._get(key)
-        if held is None:
+    def _plain(self, key: str, types: type | tuple[type, ...], expected: str) -> object:
+        value = self._get(key)
+        if value is None:
             return None
-        if not isinstance(held, Value) or isinstance(held.plain, bool) or not isinstance(held.plain, kind):
-            raise self.error(key, f"has to be {wanted}, not {held.kind}")
-        return held.plain
-
-    def text(self, key: str, default: str | None = None, pattern: str = "", wanted: str = "") -> str:
-        """A text; `pattern` has to match all of it, and `wanted` says what that means."""
-        found = self._plain(key, str, "a text")
-        if found is None:
+        if (
+            not isinstance(value, Value)
+            or isinstance(value.plain, bool)
+            or not isinstance(value.plain, types)
+        ):
+            raise self.error(key, f"has to be {expected}, not {value.kind}")
+        return value.plain
+
+    def text(self, key: str, default: str | None = None, pattern: str = "", meaning: str = "") -> str:
+        """Return a text; `pattern` has to match all of it, and `meaning` describes such a text in errors.
+
+        Raises a RecordError for another type or text, and for an absent field without a default."""
+        value = self._plain(key, str, "a text")
+        if value is None:
             if default is None:
                 raise self.error(key, "is missing")
             return default
-        text = str(found)
+        text = str(value)
         if pattern and not re.fullmatch(pattern, text):
-            raise self.error(key, f"has to be {wanted}, not {text[:60]!r}")
+            raise self.error(key, f"has to be {meaning}, not {text[:60]!r}")
         return text
 
-    def number(self, key: str, default: float, least: float, most: float, is_integer: bool = False) -> float:
-        """A number between two bounds, both allowed."""
-        kinds, wanted = ((int,), "a whole number") if is_integer else ((int, float), "a number")
-        found = self._plain(key, kinds, wanted)
-        if found is None:
+    def number(
+        self, key: str, default: float, minimum: float, maximum: float, is_integer: bool = False
+    ) -> float:
+        """Return a number within two bounds, both included, or the default where the field is absent.
+
+        Raises a RecordError for another type and outside the bounds."""
+        types, expected = ((int,), "a whole number") if is_integer else ((int, float), "a number")
+        value = self._plain(key, types, expected)
+        if value is None:
             return default
-        assert isinstance(found, int | float)
-        if not least <= found <= most:
-            raise self.error(key, f"has to be from {least:g} to {most:g}, not {found:g}")
-        return found
-
-    def texts(self, key: str, pattern: str, wanted: str) -> tuple[str, ...]:
-        """A list of texts; empty where the field is absent."""
-        held = self._get(key)
-        if held is None:
+        assert isinstance(value, int | float)
+        if not minimum <= value <= maximum:
+            raise self.error(key, f"has to be from {minimum:g} to {maximum:g}, not {value:g}")
+        return value
+
+    def texts(self, key: str, pattern: str, meaning: str) -> tuple[str, ...]:
+        """Return a list of texts that all match `pattern`; empty where the field is absent."""
+        value = self._get(key)
+        if value is None:
             return ()
-        if isinstance(held, Struct) or not isinstance(held.plain, tuple):
-            raise self.error(key, f"has to be a list, not {held.kind}")
-        found = []
-        for item in held.plain:
+        if isinstance(value, Struct) or not isinstance(value.plain, tuple):
+            raise self.error(key, f"has to be a list, not {value.kind}")
+        texts = []
+        for item in value.plain:
             if isinstance(item, Struct) or not isinstance(item.plain, str):
-                raise RecordError(f"{self._name}:{item.line}: {self._full(key)} has {item.kind}, not a text")
+                raise RecordError(
+                    f"{self._name}:{item.line}: {self._full_path(key)} has {item.kind}, not a text"
+                )
             if not re.fullmatch(pattern, item.plain):
-                what = f"has {item.plain[:60]!r}, which is not {wanted}"
-                raise RecordError(f"{self._name}:{item.line}: {self._full(key)} {what}")
-            found.append(item.plain)
-        return tuple(found)
+                error = f"has {item.plain[:60]!r}, which is not {meaning}"
+                raise RecordError(f"{self._name}:{item.line}: {self._full_path(key)} {error}")
+            texts.append(item.plain)
+        return tuple(texts)
 
-    def table(self, key: str, pattern: str, wanted: str) -> Mapping[str, str]:
-        """A record of texts by names that match; empty where the field is absent."""
+    def table(self, key: str, pattern: str, meaning: str) -> Mapping[str, str]:
+        """Return a record of texts whose names match `pattern`; empty where the field is absent."""
         inner = self.inner(key)
         if inner is None:
             return {}
         for name in inner._struct.fields:
             if not re.fullmatch(pattern, name):
-                raise inner.error(name, f"is not {wanted}")
+                raise inner.error(name, f"is not {meaning}")
         return {name: inner.text(name) for name in inner._struct.fields}
 
     def inner(self, key: str) -> Fields | None:
-        """A record within this one."""
-        held = self._get(key)
-        if held is None:
+        """Return a record within this one, None where the field is absent."""
+        value = self._get(key)
+        if value is None:
             return None
-        if not isinstance(held, Struct):
-            raise self.error(key, f"has to be a record, not {held.kind}")
-        return Fields(held, self._name, self._full(key))
+        if not isinstance(value, Struct):
+            raise self.error(key, f"has to be a record, not {value.kind}")
+        return Fields(value, self._name, self._full_path(key))
 
     def read(self, key: str, reader: Callable[[Fields], T]) -> T | None:
-        """A record within this one, read whole."""
+        """Read a record within this one and reject its unknown fields; None where the field is absent."""
         inner = self.inner(key)
         if inner is None:
             return None
-        found = reader(inner)
+        result = reader(inner)
         inner.reject_unknown()
-        return found
+        return result
 
     def reject_unknown(self) -> None:
-        """Refuse what nobody asked for.
+        """Raise a RecordError for a field that was never read.
 
-        Guards against a field that is spelt wrong and silently has no effect."""
+        Guards against a misspelt field that silently has no effect."""
         for key in self._struct.fields:
-            if key not in self._asked:
-                close = get_close_matches(key, list(self._asked), 1)
-                hint = f"; did you mean {close[0]}?" if close else ""
+            if key not in self._read_keys:
+                matches = get_close_matches(key, list(self._read_keys), 1)
+                hint = f"; did you mean {matches[0]}?" if matches else ""
                 raise self.error(key, f"is not known{hint}")
--- a/pearloom/records/language.py
+++ b/pearloom/records/language.py
@@ -1,8 +1,8 @@
-"""Reads the operator's file into values that know where they stand.
+"""Parses the operator's file into values that carry their line numbers.
 
-Structs whose fields are named twice are joined, as in CUE; plain values named twice have to be equal. Guards
-against hostile files: size and depth are bounded before anything is built. What is wrong is a `RecordError`
-whose text is `file:line: what`.
+Structs given twice under one name are merged, as in CUE; plain values given twice have to be equal. Size and
+depth are bounded before anything is built, which guards against hostile files. Every error is a `RecordError`
+with the text `file:line: what`.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from lark import Lark, Token, Transformer, UnexpectedInput, UnexpectedToken, v_args
 from lark.exceptions import VisitError
 
-MOST_BYTES = 1 << 20
-MOST_DEPTH = 32
+MAX_FILE_BYTES = 1 << 20
+MAX_DEPTH = 32
 
 
 class RecordError(ValueError):
-    """The file can't be used; the text says where and why."""
+    """The file is invalid; the text gives the place and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A plain value, or a list of values, and its line."""
+    """A plain value or a list of values, with its line."""
 
     line: int
     plain: str | int | float | bool | None | tuple[Value | Struct, ...]
 
     @property
     def kind(self) -> str:
-        """What it is, in the words of the file."""
+        """The name of the value's type in error texts."""
         if isinstance(self.plain, bool):
             return "a truth value"
         kinds = {str: "a text", int: "a whole number", float: "a number", tuple: "a list"}
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Struct:
-    """Named fields, in the order of the file, and the line where it begins."""
+    """Fields by name, in the order of the file, with the line where the struct begins."""
 
     line: int
     fields: dict[str, Value | Struct] = field(default_factory=dict)
@@ -49,27 +49,27 @@
     kind = "a record"
 
 
-class _Clash(Exception):
-    """Two values for one field."""
+class _Conflict(Exception):
+    """One field has two values."""
 
-    def __init__(self, name: str, one: Value | Struct, other: Value | Struct) -> None:
+    def __init__(self, name: str, first: Value | Struct, second: Value | Struct) -> None:
         super().__init__(name)
-        self.name, self.one, self.other = name, one, other
+        self.name, self.first, self.second = name, first, second
 
 
-def _unified(name: str, one: Value | Struct, other: Value | Struct) -> Value | Struct:
-    if isinstance(one, Struct) and isinstance(other, Struct):
-        joined = dict(one.fields)
-        for key, value in other.fields.items():
-            joined[key] = _unified(f"{name}.{key}", joined[key], value) if key in joined else value
-        return Struct(one.line, joined)
-    if isinstance(one, Value) and to_plain(one) == to_plain(other) and one.kind == other.kind:
-        return one
-    raise _Clash(name, one, other)
+def _merged(name: str, first: Value | Struct, second: Value | Struct) -> Value | Struct:
+    if isinstance(first, Struct) and isinstance(second, Struct):
+        fields = dict(first.fields)
+        for key, value in second.fields.items():
+            fields[key] = _merged(f"{name}.{key}", fields[key], value) if key in fields else value
+        return Struct(first.line, fields)
+    if isinstance(first, Value) and to_plain(first) == to_plain(second) and first.kind == second.kind:
+        return first
+    raise _Conflict(name, first, second)
 
 
 def to_plain(value: Value | Struct) -> object:
-    """The value without its places, as JSON would have it."""
+    """Return the value without line numbers, as json.loads would."""
     if isinstance(value, Struct):
         return {key: to_plain(inner) for key, inner in value.fields.items()}
     if isinstance(value.plain, tuple):
@@ -78,10 +78,10 @@
 
 
 @v_args(meta=True)
-class _Build(Transformer[Token, Struct]):
-    """Turns the parse tree into values."""
+class _Builder(Transformer[Token, Struct]):
+    """Turns the parse tree into values; its methods are named after the grammar's rules."""
 
-    def whole(self, meta: object, fields: list[tuple[str, Value | Struct]]) -> Struct:
+    def document(self, meta: object, fields: list[tuple[str, Value | Struct]]) -> Struct:
         return self._struct(1, fields)
 
     def struct(self, meta: object, fields: list[tuple[str, Value | Struct]]) -> Struct:
@@ -89,10 +89,10 @@
 
     @staticmethod
     def _struct(line: int, fields: list[tuple[str, Value | Struct]]) -> Struct:
-        found: dict[str, Value | Struct] = {}
+        merged: dict[str, Value | Struct] = {}
         for name, value in fields:
-            found[name] = _unified(name, found[name], value) if name in found else value
-        return Struct(line, found)
+            merged[name] = _merged(name, merged[name], value) if name in merged else value
+        return Struct(line, merged)
 
     def field(self, meta: object, parts: list[object]) -> tuple[str, object]:
         return str(parts[0]), parts[1]
@@ -130,7 +130,7 @@
     propagate_positions=True,
     maybe_placeholders=False,
 )
-_EXPECTED = {
+_TERMINAL_NAMES = {
     "COLON": "':'",
     "LBRACE": "'{'",
     "RBRACE": "'}'",
@@ -146,55 +146,59 @@
 
 
 def parse(text: str, name: str) -> Struct:
-    """The record in this text; `name` is the file's, for errors."""
-    if len(text.encode("utf-8", "replace")) > MOST_BYTES:
+    """Parse the text of a file; `name` is the file's, for errors."""
+    if len(text.encode("utf-8", "replace")) > MAX_FILE_BYTES:
         raise RecordError(f"{name}:1: the file is over 1 MiB")
     _check_depth(text, name)
     try:
-        # A file that ends without a line end, or begins with a byte order mark, reads as any other.
-        return _Build().transform(_PARSER.parse(text.removeprefix("\ufeff")))
-    except UnexpectedInput as trouble:
-        raise RecordError(f"{name}:{max(trouble.line, 1)}: {_unexpected(text, trouble)}") from None
-    except VisitError as trouble:
-        clash = trouble.orig_exc
-        if isinstance(clash, _Clash):
-            both = f"{clash.name} is {_shown(clash.one)} here and {_shown(clash.other)}"
-            where = f"{name}:{clash.one.line}: {both} in line {clash.other.line}"
-            raise RecordError(where) from None
-        raise RecordError(f"{name}:1: {clash}") from None
-
-
-def _shown(value: Value | Struct) -> str:
+        # A missing line end after the last line and a leading byte order mark make no difference.
+        return _Builder().transform(_PARSER.parse(text.removeprefix("\ufeff")))
+    except UnexpectedInput as error:
+        raise RecordError(f"{name}:{max(error.line, 1)}: {_unexpected(text, error)}") from None
+    except VisitError as error:
+        conflict = error.orig_exc
+        if isinstance(conflict, _Conflict):
+            values = (
+                f"{conflict.name} is {_abbreviate(conflict.first)} here and {_abbreviate(conflict.second)}"
+            )
+            message = f"{name}:{conflict.first.line}: {values} in line {conflict.second.line}"
+            raise RecordError(message) from None
+        raise RecordError(f"{name}:1: {conflict}") from None
+
+
+def _abbreviate(value: Value | Struct) -> str:
     text = value.kind if isinstance(value, Struct) else json.dumps(to_plain(value))
     return text if len(text) <= 40 else text[:40] + "…"
 
 
-def _unexpected(text: str, trouble: UnexpectedInput) -> str:
-    wanted: set[str] = set()
-    if isinstance(trouble, UnexpectedToken):
-        found = "the end of the file" if trouble.token.type == "$END" else ""
-        wanted = trouble.accepts or trouble.expected
+def _unexpected(text: str, error: UnexpectedInput) -> str:
+    expected: set[str] = set()
+    if isinstance(error, UnexpectedToken):
+        found = "the end of the file" if error.token.type == "$END" else ""
+        expected = error.accepts or error.expected
     else:
         found = ""
     if not found:
-        rest = text[trouble.pos_in_stream or 0 :].split("\n", 1)[0].strip()[:30]
+        rest = text[error.pos_in_stream or 0 :].split("\n", 1)[0].strip()[:30]
         found = repr(rest) if rest else "the end of the line"
-    words = sorted({_EXPECTED[one] for one in wanted if one in _EXPECTED})
-    return f"unexpected {found}" + (f"; expected {' or '.join(words)}" if words else "")
+    names = sorted({_TERMINAL_NAMES[one] for one in expected if one in _TERMINAL_NAMES})
+    return f"unexpected {found}" + (f"; expected {' or '.join(names)}" if names else "")
 
 
-_OUTSIDE = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|[{}\[\]]|\n')
+_DEPTH_TOKEN = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|[{}\[\]]|\n')
 
 
 def _check_depth(text: str, name: str) -> None:
-    """Guards against a file nested so deep that reading it would end the program."""
+    """Raise a RecordError for a file that is nested too deep.
+
+    Guards against a nesting so deep that reading the file would end the program."""
     depth, line = 0, 1
-    for token in _OUTSIDE.findall(text):
+    for token in _DEPTH_TOKEN.findall(text):
         if token == "\n":
             line += 1
         elif token in "{[":
             depth += 1
-            if depth > MOST_DEPTH:
-                raise RecordError(f"{name}:{line}: nested more than {MOST_DEPTH} deep")
+            if depth > MAX_DEPTH:
+                raise RecordError(f"{name}:{line}: nested more than {MAX_DEPTH} deep")
         elif token in "}]":
             depth -= 1
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is read, and what each mistake says."""
+"""The operator's file: the values that are read, and the error text of each mistake."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from pearloom.records.language import to_plain
 from pearloom.rules import read_rules_settings
 
-PLAIN = st.none() | st.booleans() | st.integers(-(2**53), 2**53) | st.text(max_size=20)
-JSON = st.recursive(PLAIN, lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner, max_size=4))  # fmt: skip  # noqa: E501
+PLAIN_VALUES = st.none() | st.booleans() | st.integers(-(2**53), 2**53) | st.text(max_size=20)
+JSON_VALUES = st.recursive(PLAIN_VALUES, lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner, max_size=4))  # fmt: skip  # noqa: E501
 CLASSES = ("open-form", "save-answers")
 
 
-@given(st.dictionaries(st.text(max_size=8), JSON, max_size=4), st.sampled_from([None, 1, 3]))
+@given(st.dictionaries(st.text(max_size=8), JSON_VALUES, max_size=4), st.sampled_from([None, 1, 3]))
 def test_json_text_is_valid(value: dict[str, object], indent: int | None) -> None:
     assert to_plain(parse(json.dumps(value, indent=indent), "f")) == value
 
 
-def test_fields_by_line_by_comma_nested_and_joined() -> None:
+def test_fields_on_lines_after_commas_nested_and_merged() -> None:
     text = '// a site\na: {b: 1, "c-d": [1,\n 2.5]\n}\n\na: e: f: true // joined\ng: null'
     assert to_plain(parse(text, "f")) == {"a": {"b": 1, "c-d": [1, 2.5], "e": {"f": True}}, "g": None}
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("a: 1\n\na: 2", "f:1: a is 1 here and 2 in line 3"),
         ("a: b: 1\na: {b: true}", "f:1: a.b is 1 here and true in line 2"),
@@ -44,22 +44,22 @@
         ('a: "\\q"', "f:1: "),
     ],
 )
-def test_mistakes_say_file_line_and_what(text: str, told: str) -> None:
-    with pytest.raises(RecordError) as trouble:
+def test_error_texts_give_file_line_and_mistake(text: str, message: str) -> None:
+    with pytest.raises(RecordError) as error:
         parse(text, "f")
-    assert str(trouble.value).startswith(told)
+    assert str(error.value).startswith(message)
 
 
 @given(st.text(max_size=60) | st.text(alphabet='{}[]":,a1 \n/\\', max_size=60))
-def test_any_text_is_read_or_refused_with_its_place(text: str) -> None:
+def test_any_text_is_parsed_or_rejected_with_file_and_line(text: str) -> None:
     try:
         parse(text, "f")
-    except RecordError as trouble:
-        assert str(trouble).startswith("f:")
+    except RecordError as error:
+        assert str(error).startswith("f:")
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("listne: 1", "f:1: iax2.listne is not known; did you mean listen?"),
         ('listen: "nowhere"', "f:1: iax2.listen has to be an address with a port, not 'nowhere'"),
@@ -79,40 +79,40 @@
         ("limits: {legs: 5\nlegz: 5}", "f:2: iax2.limits.legz is not known; did you mean legs?"),
     ],
 )
-def test_a_record_iax2_that_can_not_be_used(text: str, told: str) -> None:
-    with pytest.raises(RecordError) as trouble:
+def test_error_texts_of_an_invalid_iax2_record(text: str, message: str) -> None:
+    with pytest.raises(RecordError) as error:
         Fields(parse(f"iax2: {{{text}}}", "f"), "f").read("iax2", lambda inner: read_iax2(inner, CLASSES))
-    assert str(trouble.value).startswith(told)
+    assert str(error.value).startswith(message)
 
 
-def test_a_record_iax2_in_full() -> None:
+def test_a_complete_iax2_record() -> None:
     text = """
         listen: "127.0.0.1:4569", servers: ["s-0000001?"], default_class: "open-form"
         server_secrets: "s-00000012": "kept between"
         limits: legs: 7
     """
     fields = Fields(parse(f"iax2: {{{text}}}", "f"), "f")
-    found = fields.read("iax2", lambda inner: read_iax2(inner, CLASSES))
-    assert found is not None and found.listen == ("127.0.0.1", 4569) and found.limits.legs == 7
-    assert found.speaks("s-0000001f") and not found.speaks("s-00000021")
+    iax2 = fields.read("iax2", lambda inner: read_iax2(inner, CLASSES))
+    assert iax2 is not None and iax2.listen == ("127.0.0.1", 4569) and iax2.limits.legs == 7
+    assert iax2.speaks("s-0000001f") and not iax2.speaks("s-00000021")
 
 
-def test_the_example_is_valid() -> None:
+def test_the_example_file_is_valid() -> None:
     from pathlib import Path
 
     path = Path(__file__).parent.parent / "deploy" / "pearloom.example.cue"
     fields = Fields(parse(path.read_text(), path.name), path.name)
     assert fields.read("iax2", lambda inner: read_iax2(inner, CLASSES)) is not None
     assert fields.read("store", read_store) is not None
-    turns = fields.read("turns", read_maintenance_settings)
-    assert turns is not None and (turns.limits.out, turns.limits.floor) == (2, 0.75)
+    maintenance = fields.read("turns", read_maintenance_settings)
+    assert maintenance is not None and (maintenance.limits.out, maintenance.limits.floor) == (2, 0.75)
     rules = fields.read("rules", read_rules_settings)
     assert rules is not None and rules.rollout.stages == (0.0, 0.1, 0.5)
     fields.reject_unknown()
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("store: {}", "store.at has to name at least one address"),
         ('store: at: ["here"]', "store.at has 'here', which is not an address"),
@@ -126,9 +126,9 @@
         ("turns: flor: 1", "turns.flor is not known; did you mean floor?"),
     ],
 )
-def test_a_fleet_s_records_that_can_t_be_used_are_told_with_their_place(text: str, told: str) -> None:
+def test_error_texts_of_invalid_fleet_records(text: str, message: str) -> None:
     fields = Fields(parse(text, "f.cue"), "f.cue")
-    with pytest.raises(RecordError) as trouble:
+    with pytest.raises(RecordError) as error:
         fields.read("store", read_store)
         fields.read("turns", read_maintenance_settings)
-    assert told in str(trouble.value)
+    assert message in str(error.value)
