--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -1,4 +1,4 @@
-"""The command `pearloom`."""
+"""The command line `pearloom`."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @app.command
 def demo(
-    seconds: Annotated[float, Parameter(help="for how long calls are placed")] = 20.0,
-    rate: Annotated[float, Parameter(help="calls a second")] = 50.0,
-    seed: Annotated[int, Parameter(help="of all that is drawn")] = 1,
+    seconds: Annotated[float, Parameter(help="how long calls are placed")] = 20.0,
+    rate: Annotated[float, Parameter(help="calls per second")] = 50.0,
+    seed: Annotated[int, Parameter(help="seed of all random numbers")] = 1,
 ) -> int:
     """Run a small installation on loopback: four fake servers, callers of both kinds, a drain midway.
 
-    Prints how calls ended by class and protocols, and the rules that were broken; exit code 1 if any was.
+    Prints the outcomes of calls by class and protocols, and the violated rules; exit code 1 if there are any.
     """
     from pearloom.fakes.stage import Stage
 
@@ -40,13 +40,15 @@
         report = stage.report(done=settled)
     finally:
         code = stage.close()
-    ends = sorted({key[3] for key in report.ends})
-    table = Table("class", "caller", "last server", *(end.lower().replace("_", " ") for end in ends))
+    outcomes = sorted({key[3] for key in report.ends})
+    table = Table(
+        "class", "caller", "last server", *(outcome.lower().replace("_", " ") for outcome in outcomes)
+    )
     rows: dict[tuple[str, str, str], Counter[str]] = {}
-    for (kind, caller, server, end), count in report.ends.items():
-        rows.setdefault((kind, caller, server), Counter())[end] += count
+    for (class_name, caller, server, outcome), count in report.ends.items():
+        rows.setdefault((class_name, caller, server), Counter())[outcome] += count
     for key, counts in sorted(rows.items()):
-        table.add_row(*key, *(str(counts[end]) for end in ends))
+        table.add_row(*key, *(str(counts[outcome]) for outcome in outcomes))
     console.print(table)
     attempts = ", ".join(f"{server} {count}" for server, count in sorted(report.attempts.items()))
     console.print(f"attempts: {attempts}; {report.crossed} calls went over both protocols")
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -1,6 +1,6 @@
-"""What the operator's file adds to a softswitch: read, checked, and joined to the parts that every one has.
+"""What the operator's file adds to a softswitch: the file is read and checked, and its parts are joined.
 
-Loaded only where `PEARLOOM_FILE` names a file.
+This module is loaded only where `PEARLOOM_FILE` names a file.
 """
 
 from __future__ import annotations
@@ -36,13 +36,15 @@
     from pearloom.maintenance.settings import MaintenanceSettings
     from pearloom.rules.settings import RulesSettings
 
-LISTEN_AGAIN_S = 0.05  # while the process before this one still has the address
-LISTEN_FOR_S = 30.0
-FAREWELL_S = 0.25  # for the last frames of legs that end with this process
+LISTEN_RETRY_S = 0.05  # while the previous process still has the address
+LISTEN_TIMEOUT_S = 30.0
+LAST_FRAMES_S = 0.25  # for the last frames of legs that end with this process
 
 
-def _read_turns(fields: Fields) -> MaintenanceSettings:
-    """Loaded only where the file has the record: its library is none of the softswitch's own."""
+def _read_maintenance(fields: Fields) -> MaintenanceSettings:
+    """Read the record `turns`.
+
+    The reader is loaded only where the file has the record: the plain softswitch does without its library."""
     from pearloom.maintenance.settings import read_maintenance_settings
 
     return read_maintenance_settings(fields)
@@ -55,22 +57,22 @@
 
 
 class Installation:
-    """The records of the operator's file, and what they brought about."""
+    """The records of the operator's file, and the parts that are built from them."""
 
     def __init__(self, path: str, config: Config) -> None:
-        """Read the file; a ConfigError says in one line what is wrong and where."""
+        """Read the file; raise a ConfigError that says in one line what is wrong and where."""
         self._config = config
         try:
             fields = Fields(parse(Path(path).read_text(encoding="utf-8"), path), path)
             self.iax2 = fields.read("iax2", lambda inner: read_iax2(inner, config.class_names)) or Iax2()
             self.store: StoreSettings | None = fields.read("store", read_store)
-            self.turns = fields.read("turns", _read_turns)
+            self.maintenance = fields.read("turns", _read_maintenance)
             self.rules = fields.read("rules", _read_rules)
             fields.reject_unknown()
-        except RecordError as trouble:
-            raise ConfigError(str(trouble)) from None
-        except (OSError, UnicodeDecodeError) as trouble:
-            raise ConfigError(f"{path}: {trouble}") from None
+        except RecordError as error:
+            raise ConfigError(str(error)) from None
+        except (OSError, UnicodeDecodeError) as error:
+            raise ConfigError(f"{path}: {error}") from None
         self.front: Front | None = None
         self._exchange: Exchange | None = None
         self._counters = Counters()
@@ -84,12 +86,12 @@
         counters: Counters,
         callers: Callers,
         servers: Directory,
-        makers: dict[str, TrunkFactory],
+        factories: dict[str, TrunkFactory],
     ) -> CallerSide:
-        """Add the trunks and the listener; returns all callers' sides as one."""
-        first = 1 + secrets.randbelow(0x7000)  # legs of a process before this one have other numbers
-        makers[IAX2] = lambda side, server: IaxTrunk(
-            side, server, self.iax2.server_secrets.get(server.entry.server, ""), first
+        """Add the IAX2 trunks and the IAX2 listener; return all callers' sides as one."""
+        first_number = 1 + secrets.randbelow(0x7000)  # so that the previous process's legs have others
+        factories[IAX2] = lambda side, server: IaxTrunk(
+            side, server, self.iax2.server_secrets.get(server.entry.server, ""), first_number
         )
         servers.protocol_of = lambda server: IAX2 if self.iax2.speaks(server) else SIP
         self._servers, self._exchange, self._counters = servers, exchange, counters
@@ -107,25 +109,25 @@
         return Fronts(callers, self.front, counters)
 
     def routes(
-        self, listing: PoolView, drain: Callable[[], object], activate: Callable[[], object]
+        self, pool_view: PoolView, drain: Callable[[], object], activate: Callable[[], object]
     ) -> Routes:
-        """What operators can ask beside what every softswitch answers; nothing without a store."""
+        """Return the handlers of the additional management calls; none without a store."""
         if self.store is None:
             return {}
-        # Loaded only here: the store's client is none of the softswitch's own libraries.
+        # Loaded only here: a softswitch without a store does without the client's library.
         from pearloom.admin.fleet import FleetServices
         from pearloom.maintenance.settings import MaintenanceSettings
         from pearloom.rules.settings import RulesSettings
 
-        assert self._exchange is not None, "joined first"
+        assert self._exchange is not None, "join comes first"
         self.fleet = FleetServices(
             self.store,
-            self.turns or MaintenanceSettings(),
+            self.maintenance or MaintenanceSettings(),
             self.rules or RulesSettings(),
             self._config,
             self._exchange,
             self._counters,
-            listing,
+            pool_view,
             drain,
             activate,
         )
@@ -133,28 +135,28 @@
 
     @property
     def max_request_bytes(self) -> int:
-        """Bytes of an operator's call at most."""
+        """The maximum size of a management call in bytes."""
         return MAX_REQUEST_BYTES if self.fleet is None else self.fleet.max_request_bytes
 
     def prepare(self) -> None:
-        """Before the first call is taken."""
+        """Prepare the fleet services before the first call is accepted."""
         if self.fleet is not None:
             self.fleet.prepare()
 
     def start(self) -> None:
-        """Begin all that the file asks for."""
+        """Start the fleet services and the IAX2 listener, as far as the file names them."""
         if self.fleet is not None:
             self.fleet.start()
-        self._start_front()
+        self._start_listening()
 
-    def _start_front(self) -> None:
-        """Listen; where a process before this one still does, as soon as it has ended."""
+    def _start_listening(self) -> None:
+        """Listen for IAX2; while the previous process still has the address, keep trying."""
         if self.front is None or self.iax2.listen is None:
             return
         try:
             self._listen(self.front)
-        except OSError as trouble:
-            log_event(logging.WARNING, "iax2_listen_waits", reason=str(trouble))
+        except OSError as error:
+            log_event(logging.WARNING, "iax2_listen_waits", reason=str(error))
             gevent.spawn(self._listen_later, self.front)
 
     def _listen(self, front: Front) -> None:
@@ -163,8 +165,8 @@
         log_event(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
 
     def _listen_later(self, front: Front) -> None:
-        for _ in range(int(LISTEN_FOR_S / LISTEN_AGAIN_S)):
-            gevent.sleep(LISTEN_AGAIN_S)
+        for _ in range(int(LISTEN_TIMEOUT_S / LISTEN_RETRY_S)):
+            gevent.sleep(LISTEN_RETRY_S)
             try:
                 self._listen(front)
                 return
@@ -173,11 +175,11 @@
         log_event(logging.ERROR, "iax2_listen_failed")
 
     def finish(self) -> None:
-        """This process is about to end."""
+        """End the fleet services, the legs and the trunks before this process ends."""
         if self.fleet is not None:
             self.fleet.finish()
         if self.front is not None:
             self.front.finish()
         if self._servers is not None:
             self._servers.finish()
-        gevent.sleep(FAREWELL_S)
+        gevent.sleep(LAST_FRAMES_S)
