--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,7 +1,7 @@
-"""A start where nobody answers at the Unix socket of an upgrade: it must be a plain start, and soon.
+"""Starts without a previous process at the hand-over's Unix socket.
 
-On the fleet's days nobody comes to a Unix socket, and a restarted softswitch finds at best the file of the
-process before it. Each case here is a start that has to go on alone within 1 s.
+Guards against a start that waits for a peer which isn't there. A restarted softswitch finds at most the
+socket file that an earlier process left, and has to start within 1 s.
 """
 
 from __future__ import annotations
@@ -16,46 +16,46 @@
 from pearloom.admin.handover import request_handover
 from pearloom.fakes.stage import free_port
 
-# `end_processes` is the autouse fixture that ends what a test started, also when it fails.
+# `end_processes` is the autouse fixture that ends the processes of a test, also when it fails.
 from tests.test_program import BASE_CONFIG, await_line, end_processes, start  # noqa: F401
 
-PLAIN_START_S = 1.0
+MAX_START_S = 1.0
 
 
 def leave_nothing(path: Path) -> None:
-    """A first start."""
+    """Leave no file, as before a first start."""
 
 
 def leave_socket_file(path: Path) -> None:
-    """What a killed process leaves: the file stays, nobody listens at it."""
-    left = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    left.bind(str(path))
-    left.close()
+    """Leave the socket file of a killed process: no process listens at it."""
+    stale = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    stale.bind(str(path))
+    stale.close()
 
 
 def leave_other_file(path: Path) -> None:
-    """Something that is no socket."""
+    """Leave a file that is no socket."""
     path.write_text("left by something else\n")
 
 
 @pytest.mark.parametrize("leave", [leave_nothing, leave_socket_file, leave_other_file])
-def test_a_file_without_a_peer_is_a_plain_start_at_once(
+def test_request_handover_without_a_peer_returns_none_at_once(
     tmp_path: Path, leave: Callable[[Path], None]
 ) -> None:
     path = tmp_path / "pearloom-127.0.0.1-5060.sock"
     leave(path)
-    begun = time.monotonic()
+    began = time.monotonic()
     assert request_handover(path) is None
-    assert time.monotonic() - begun < PLAIN_START_S
+    assert time.monotonic() - began < MAX_START_S
 
 
-@pytest.mark.parametrize("left", ["nothing", "socket"])
-def test_the_program_starts_alone_beside_a_file_without_a_peer(tmp_path: Path, left: str) -> None:
+@pytest.mark.parametrize("leftover", ["nothing", "socket"])
+def test_the_softswitch_starts_without_a_peer(tmp_path: Path, leftover: str) -> None:
     address = ("127.0.0.1", free_port())
-    if left == "socket":
+    if leftover == "socket":
         leave_socket_file(tmp_path / f"pearloom-{address[0]}-{address[1]}.sock")
     process = start(tmp_path, {**BASE_CONFIG, "listen": f"{address[0]}:{address[1]}"}, TMPDIR=str(tmp_path))
     lines = await_line(process, "started")
-    assert not [one for one in lines if "handover" in one], lines
+    assert not [line for line in lines if "handover" in line], lines
     with socket.create_connection(address, timeout=5):
         pass
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, SIGTERM, signals, exit codes."""
+"""The softswitch as a process: configuration, signals, upgrades, exit codes."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 STARTED: list[subprocess.Popen[str]] = []
 
 
-def start(folder: Path, told: object, **more: str) -> subprocess.Popen[str]:
+def start(folder: Path, config: object, **environment: str) -> subprocess.Popen[str]:
     path = folder / "config.json"
-    path.write_text(told if isinstance(told, str) else json.dumps(told))
+    path.write_text(config if isinstance(config, str) else json.dumps(config))
     process = subprocess.Popen(
         [sys.executable, "-m", "pearloom"],
         cwd=ROOT,
-        env={**os.environ, "BALANCER_CONFIG": str(path), **more},
+        env={**os.environ, "BALANCER_CONFIG": str(path), **environment},
         stderr=subprocess.PIPE,
         text=True,
     )
@@ -76,7 +76,7 @@
     return caller.recv(100)
 
 
-def test_sigterm_fails_tests_from_then_on_and_exits_with_0(
+def test_after_sigterm_tests_fail_and_the_exit_code_is_0(
     running: tuple[subprocess.Popen[str], socket.socket],
 ) -> None:
     process, caller = running
@@ -90,14 +90,14 @@
     assert "event=counters" in process.stderr.read()
 
 
-def test_sighup_never_ends_the_program(
+def test_sighup_never_ends_the_process(
     running: tuple[subprocess.Popen[str], socket.socket], tmp_path: Path
 ) -> None:
     process, caller = running
     assert process.stderr is not None
     config = tmp_path / "config.json"
-    whole = config.read_text()
-    for text, event in (("{", "reload_failed"), (whole, "reloaded"), (whole, "reloaded")):
+    valid = config.read_text()
+    for text, event in (("{", "reload_failed"), (valid, "reloaded"), (valid, "reloaded")):
         config.write_text(text)
         process.send_signal(signal.SIGHUP)
         while f"event={event}" not in process.stderr.readline():
@@ -105,13 +105,17 @@
         assert send_test(caller) == encode(PASSED)
 
 
-def test_sigterm_refuses_what_is_still_open_before_sigkill_may_come(tmp_path: Path) -> None:
-    # Nobody is listed and the aims are long: the set-up would wait here for 4.5 s.
+def test_sigterm_refuses_open_set_ups_before_sigkill_may_come(tmp_path: Path) -> None:
+    # No server is listed and the aims are long: the set-up would wait for 4.5 s.
     services = [{"name": "open-form", "aimUs": 9_000_000, "deadlineUs": 9_000_000, "importance": 1}]
     address = ("127.0.0.1", free_port())
-    of_services = {"services": services, "specifics": {"guardUs": 300_000, "skilledPools": [[0, 1, 2]]}}
-    told = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "settings": {**SETTINGS, **of_services}}
-    process = start(tmp_path, told)
+    services_settings = {"services": services, "specifics": {"guardUs": 300_000, "skilledPools": [[0, 1, 2]]}}
+    config = {
+        **BASE_CONFIG,
+        "listen": f"127.0.0.1:{address[1]}",
+        "settings": {**SETTINGS, **services_settings},
+    }
+    process = start(tmp_path, config)
     assert process.stderr is not None and "event=started" in process.stderr.readline()
     with socket.create_connection(address, timeout=4) as caller, process.stderr:
         caller.sendall(encode('(01 9b1f03aa5c7e2d41 03("open-form") 06("9000") 0f("1"))'))
@@ -120,7 +124,7 @@
         assert process.wait(3.7) == 0
 
 
-def test_connections_are_bounded_by_the_memory_too(tmp_path: Path) -> None:
+def test_the_memory_limit_bounds_connections(tmp_path: Path) -> None:
     address = ("127.0.0.1", free_port())
     limits = {"sockets": 1024, "memory_mb": 16}
     process = start(tmp_path, {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "limits": limits})
@@ -136,11 +140,11 @@
 
 
 def await_line(process: subprocess.Popen[str], event: str) -> list[str]:
-    """The lines that came before the first of this event."""
+    """Read the log until the first line of this event; return the lines before it."""
     assert process.stderr is not None
     before = []
     while f"event={event}" not in (line := process.stderr.readline()).split():
-        assert line, f"ended before {event}"
+        assert line, f"the process ended before {event}"
         before.append(line)
     return before
 
@@ -151,7 +155,7 @@
         return b"".join(iter(lambda: operator.recv(1000), b""))
 
 
-def test_upgrades_take_the_socket_and_the_standing_calls_and_survive_a_new_process_that_dies(
+def test_upgrades_hand_over_the_socket_and_established_calls_and_survive_the_death_of_a_new_process(
     tmp_path: Path,
 ) -> None:
     address, operators = ("127.0.0.1", free_port()), [("127.0.0.1", free_port()) for _ in range(3)]
@@ -159,14 +163,14 @@
     server.settimeout(5)
     hosts = [{"host": "s-00000001", "dial": "127.0.0.1:%d" % server.getsockname()[1], "health": "in_service"}]
     known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-    told = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "known": known}
+    config = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}", "known": known}
     with socket.socket(socket.AF_UNIX) as stale:
-        stale.bind(str(tmp_path / f"pearloom-127.0.0.1-{address[1]}.sock"))  # of a process that is gone
+        stale.bind(str(tmp_path / f"pearloom-127.0.0.1-{address[1]}.sock"))  # of a process that has ended
     call = "9b1f03aa5c7e2d41"
 
     def begin(number: int) -> subprocess.Popen[str]:
-        at = "{}:{}".format(*operators[number])
-        process = start(tmp_path, told, TMPDIR=str(tmp_path), BALANCER_MANAGEMENT=at)
+        management = "{}:{}".format(*operators[number])
+        process = start(tmp_path, config, TMPDIR=str(tmp_path), BALANCER_MANAGEMENT=management)
         await_line(process, "started")
         assert management_call(operators[number], "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         return process
@@ -180,49 +184,49 @@
     trunk.sendall(f"SIP/2.0 200 OK\r\n{head}Content-Length: 1\r\n\r\nx".encode())
     assert caller.recv(1000) == encode(f'(09 {call} 30("x"))')
 
-    dies = begin(1)
-    dies.kill()
-    dies.wait()
+    killed = begin(1)
+    killed.kill()
+    killed.wait()
     await_line(first, "handover_undone")
-    with socket.create_connection(address, timeout=5) as other:
-        assert send_test(other) == encode(PASSED)  # the first one accepts again
+    with socket.create_connection(address, timeout=5) as next_caller:
+        assert send_test(next_caller) == encode(PASSED)  # the first process accepts again
 
     second = begin(2)
     assert management_call(operators[0], "/v1/readyz").startswith(b"HTTP/1.1 503 ")
     assert caller.recv(1) == b""
     first.send_signal(signal.SIGTERM)
     assert first.wait(5) == 0
-    with socket.create_connection(address, timeout=5) as other:
-        other.sendall(encode("(10 0000000000000002)"))
-        assert send_test(other) == encode(PASSED)
+    with socket.create_connection(address, timeout=5) as next_caller:
+        next_caller.sendall(encode("(10 0000000000000002)"))
+        assert send_test(next_caller) == encode(PASSED)
         trunks: list[socket.socket] = []
         bye = f"BYE sip:peer@net SIP/2.0\r\nCall-ID: {call}\r\nCSeq: 9 BYE\r\nReason: Q.850;cause=16\r\n"
-        # The server tells it on each connection that it has; those of processes that are gone are reset.
-        other.settimeout(0.2)
-        heard = b""
+        # The server sends the release on each of its connections; those of ended processes are reset.
+        next_caller.settimeout(0.2)
+        received = b""
         for _ in range(20):
             trunks.append(server.accept()[0])
             with contextlib.suppress(OSError):
                 trunks[-1].sendall(f"{bye}Content-Length: 0\r\n\r\n".encode())
             with contextlib.suppress(TimeoutError):
-                heard = other.recv(1000)
+                received = next_caller.recv(1000)
                 break
-        assert heard == encode(f"(0c {call} 2d(10))")
+        assert received == encode(f"(0c {call} 2d(10))")
     second.kill()
     second.wait()
-    for one in (server, trunk, caller, *trunks, first.stderr, second.stderr, dies.stderr):
+    for one in (server, trunk, caller, *trunks, first.stderr, second.stderr, killed.stderr):
         assert one is not None
         one.close()
 
 
-def test_a_new_process_listens_beside_one_whose_handover_does_not_answer(tmp_path: Path) -> None:
+def test_a_new_process_listens_beside_a_process_that_hangs(tmp_path: Path) -> None:
     address, operators = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-    told = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}"}
-    hung = start(tmp_path, told, TMPDIR=str(tmp_path))
+    config = {**BASE_CONFIG, "listen": f"127.0.0.1:{address[1]}"}
+    hung = start(tmp_path, config, TMPDIR=str(tmp_path))
     await_line(hung, "started")
     hung.send_signal(signal.SIGSTOP)
-    at = "{}:{}".format(*operators)
-    beside = start(tmp_path, told, TMPDIR=str(tmp_path), BALANCER_MANAGEMENT=at)
+    management = "{}:{}".format(*operators)
+    beside = start(tmp_path, config, TMPDIR=str(tmp_path), BALANCER_MANAGEMENT=management)
     await_line(beside, "handover_unanswered")
     await_line(beside, "started")
     assert management_call(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
@@ -233,7 +237,7 @@
         process.stderr.close()
 
 
-def test_counters_are_printed_on_request(running: tuple[subprocess.Popen[str], socket.socket]) -> None:
+def test_sigusr1_logs_the_counters(running: tuple[subprocess.Popen[str], socket.socket]) -> None:
     process, caller = running
     caller.sendall(encode('(01 9b1f03aa5c7e2d41 03("none"))'))
     assert len(caller.recv(100)) > 0
@@ -245,7 +249,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "config",
     [
         "{",
         {},
@@ -257,10 +261,8 @@
         {**BASE_CONFIG, "settings": {**SETTINGS, "limits": {**LIMITS, "dialTimeoutUs": 0}}},
         {**BASE_CONFIG, "settings": {**SETTINGS, "guarantees": {"fallUs": float("inf")}}},
         {**BASE_CONFIG, "settings": {**SETTINGS, "guarantees": {"coldShare": float("nan")}}},
-        {
-            **BASE_CONFIG,
-            "settings": {**SETTINGS, "services": SERVICES[:1]},
-        },  # pools for a class that is unknown
+        # Pools for an unknown class.
+        {**BASE_CONFIG, "settings": {**SETTINGS, "services": SERVICES[:1]}},
         {**BASE_CONFIG, "settings": {**SETTINGS, "services": [SERVICES[0], SERVICES[0]]}},
         {
             **BASE_CONFIG,
@@ -273,14 +275,14 @@
         {**BASE_CONFIG, "known": {"updates": [{"index": 1, "endpoints": {"whole": True, "hosts": [{}]}}]}},
     ],
 )
-def test_an_unusable_configuration_is_one_plain_line(tmp_path: Path, told: object) -> None:
-    process = start(tmp_path, told)
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, config: object) -> None:
+    process = start(tmp_path, config)
     _, errors = process.communicate(timeout=30)
     assert process.returncode == 2
     assert errors.startswith("pearloom: ") and errors.count("\n") == 1
 
 
-def test_a_taken_address_is_one_plain_line(tmp_path: Path) -> None:
+def test_an_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
