--- a/pearloom/__main__.py
+++ b/pearloom/__main__.py
@@ -221,8 +221,8 @@
                 break
             if has_handed_over and not self.exchange.open_calls + self.callers.connections:
                 break  # established calls belong to the next process
-            held = self.exchange.open_calls + self.exchange.established_calls
-            if elapsed_ms >= SET_UPS_ARRIVE_MS and not held and self.callers.is_idle:
+            calls_left = self.exchange.open_calls + self.exchange.established_calls
+            if elapsed_ms >= SET_UPS_ARRIVE_MS and not calls_left and self.callers.is_idle:
                 break
             if elapsed_ms >= kill_ms - REFUSE_BEFORE_KILL_MS:
                 # Guards against set-ups that would wait beyond the end of this process.
--- a/pearloom/admin/handover.py
+++ b/pearloom/admin/handover.py
@@ -301,10 +301,10 @@
         """Return a function that returns, at each call, what has changed for the next process."""
         established: set[str] = set()
         open_ids: set[str] = set()
-        held = -1
+        sent_connections = -1
 
         def collect() -> list[Message]:
-            nonlocal established, open_ids, held
+            nonlocal established, open_ids, sent_connections
             now = {call: rest for call, *rest in self._exchange.list_established()}
             begun = [[call, *now[call]] for call in now if call not in established]
             ended = [call for call in established if call not in now]
@@ -317,9 +317,9 @@
                 messages.append({"say": "over", "calls": ended})
             if open_now != open_ids:
                 messages.append({"say": "open", "calls": sorted(open_now)})
-            if held != (connections := self._callers.connections):
+            if sent_connections != (connections := self._callers.connections):
                 messages.append({"say": "held", "connections": connections})
-            established, open_ids, held = set(now), open_now, connections
+            established, open_ids, sent_connections = set(now), open_now, connections
             return messages
 
         return collect
