--- a/pearloom/rules/settings.py
+++ b/pearloom/rules/settings.py
@@ -39,7 +39,7 @@
     terms = RolloutTerms(
         soak_ms=float(number("soak_ms", defaults.soak_ms, 100, 86_400_000)),
         evidence_ms=float(number("evidence_ms", defaults.evidence_ms, 1_000, 604_800_000)),
-        least_calls=int(number("least_calls", defaults.least_calls, 1, 1_000_000, whole=True)),
+        least_calls=int(number("least_calls", defaults.least_calls, 1, 1_000_000, is_integer=True)),
         tell_ms=float(number("tell_ms", defaults.tell_ms, 100, 60_000)),
         look_ms=float(number("look_ms", defaults.look_ms, 100, 600_000)),
         silent_ms=float(number("silent_ms", defaults.silent_ms, 500, 600_000)),
--- a/tests/player.py
+++ b/tests/player.py
@@ -27,7 +27,7 @@
 from gevent import socket
 
 from pearloom.__main__ import Softswitch
-from pearloom.admin.handover import ask
+from pearloom.admin.handover import request_handover
 from pearloom.core.clock import Clock
 from pearloom.core.config import Config, read_config
 from pearloom.installation import Installation
@@ -119,7 +119,7 @@
             self.front = installation.front.listen(("127.0.0.1", 0))
         self.address = self.softswitch.callers.listen(("127.0.0.1", 0))
         self.operated = self.softswitch.management.listen(("127.0.0.1", 0))
-        self.softswitch.serves = True
+        self.softswitch.is_serving = True
         self.elders: list[Softswitch] = []
         self.handover = folder / "handover.sock"
         self.softswitch.handover.listen(self.handover)
@@ -234,9 +234,9 @@
 
     def upgrade(self) -> None:
         """A second softswitch takes over; in a test both are in one process."""
-        legacy = ask(self.handover)
+        legacy = request_handover(self.handover)
         assert legacy is not None, "no handover"
-        config = legacy.renew(self.config(self.folder, self.known))
+        config = legacy.update_config(self.config(self.folder, self.known))
         self.elders.append(self.softswitch)
         self.softswitch = Softswitch(config, self.clock)
         self.softswitch.start(config, legacy, "")
--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -23,9 +23,19 @@
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from tests.player import SETTINGS, encode
 from tests.races.harness import OPTIONS, Harness
-from tests.test_program import FAILED, PASSED, ROOT, TOLD, ask, await_line, ended, managed, start
+from tests.test_program import (
+    BASE_CONFIG,
+    FAILED,
+    PASSED,
+    ROOT,
+    await_line,
+    end_processes,
+    management_call,
+    send_test,
+    start,
+)
 
-__all__ = ["ended"]
+__all__ = ["end_processes"]
 CALL = "9b1f03aa5c7e2d41"
 SET_UP = f'(01 {CALL} 03("open-form") 06("3000") 0f("1") 12("dest:0") 30("sdp-c"))'
 DESCRIPTORS = 64
@@ -45,7 +55,7 @@
             [{"host": "s-00000001", "dial": dial, "block": 0, "health": "in_service"}] if with_server else []
         )
         known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-        config = {**TOLD, "listen": "%s:%d" % self.address, "known": known, **more_config}
+        config = {**BASE_CONFIG, "listen": "%s:%d" % self.address, "known": known, **more_config}
         self.process = start(folder, config, BALANCER_MANAGEMENT="%s:%d" % self.operators)
         await_line(self.process, "started")
 
@@ -73,7 +83,7 @@
     silent.bind(str(tmp_path / f"pearloom-127.0.0.1-{address[1]}.sock"))
     silent.listen()
     silent.settimeout(10)
-    process = start(tmp_path, {**TOLD, "listen": "%s:%d" % address}, TMPDIR=str(tmp_path))
+    process = start(tmp_path, {**BASE_CONFIG, "listen": "%s:%d" % address}, TMPDIR=str(tmp_path))
     with closing(silent), closing(silent.accept()[0]):
         process.send_signal(signal.SIGTERM)
         assert process.wait(5) == 0
@@ -85,7 +95,7 @@
     """Guards against an exit 0.9 s after SIGTERM while the rest of a set-up is still in transit."""
     with closing(RunningProgram(tmp_path, with_server=False)) as running, running.connect_caller() as caller:
         message = encode(SET_UP)
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
         running.process.send_signal(signal.SIGTERM)
         await_line(running.process, "stopping")
         caller.sendall(message[:20])
@@ -123,7 +133,7 @@
     with running.connect_caller() as caller, closing(running.server.accept()[0]) as trunk:
         caller.sendall(encode(SET_UP))
         assert b"INVITE" in trunk.recv(1000)
-        assert managed(running.operators, "/v1/softswitch/drain", "POST").startswith(b"HTTP/1.1 200 ")
+        assert management_call(running.operators, "/v1/softswitch/drain", "POST").startswith(b"HTTP/1.1 200 ")
         running.process.send_signal(signal.SIGTERM)
         await_line(running.process, "stopping")
         trunk.sendall(
@@ -136,7 +146,7 @@
 def test_no_connection_is_accepted_once_the_program_is_stopping(running: RunningProgram) -> None:
     """Guards against set-ups that the kernel accepts for a process that does not read them."""
     with running.connect_caller() as caller:
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
         running.process.send_signal(signal.SIGTERM)
         lines = await_line(running.process, "stopped")
         assert any("event=counters" in line for line in lines)
@@ -189,7 +199,7 @@
     coordinator, address = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
     operators = ("127.0.0.1", free_port())
     config = {
-        **TOLD,
+        **BASE_CONFIG,
         "listen": "%s:%d" % address,
         "coordinator": "%s:%d" % coordinator,
         "limits": {"sockets": DESCRIPTORS},
@@ -202,8 +212,8 @@
         await_line(process, "started")
         idle = [cleanup.enter_context(socket.create_connection(address, timeout=5)) for _ in range(150)]
         active = cleanup.enter_context(socket.create_connection(address, timeout=5))
-        assert ask(active) == encode(PASSED)
-        assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
+        assert send_test(active) == encode(PASSED)
+        assert management_call(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         coordinator_listener = cleanup.enter_context(closing(socket.create_server(coordinator)))
         coordinator_listener.settimeout(2)  # reconnected at once
         stream = cleanup.enter_context(closing(coordinator_listener.accept()[0]))
@@ -227,7 +237,7 @@
     dial = socket.create_server(("127.0.0.1", 0), backlog=8)
     host = {"host": "s-00000001", "dial": "127.0.0.1:%d" % dial.getsockname()[1], "health": "in_service"}
     known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": [host]}}]}
-    config = {**TOLD, "listen": "%s:%d" % address, "known": known}
+    config = {**BASE_CONFIG, "listen": "%s:%d" % address, "known": known}
     previous = start(tmp_path, config, TMPDIR=str(tmp_path))
     await_line(previous, "started")
     following = start(tmp_path, config, TMPDIR=str(tmp_path))
@@ -237,10 +247,10 @@
     for _ in range(3):
         with socket.create_connection(address, timeout=5) as caller:
             # The previous process answers test messages with a failure while it stops.
-            assert ask(caller) in (encode(PASSED), encode(FAILED))
+            assert send_test(caller) in (encode(PASSED), encode(FAILED))
     assert previous.wait(5) == 0
     with socket.create_connection(address, timeout=5) as caller:
-        assert ask(caller) == encode(PASSED)
+        assert send_test(caller) == encode(PASSED)
     dial.close()
     for process in (previous, following):
         assert process.stderr is not None
@@ -257,9 +267,9 @@
         server = Server(PoolEntry("s-00000009", 4, PoolState.READY), ("127.0.0.1", 1), "east")
         harness.softswitch.exchange.handle_pool_list(ListKind.CHANGES, [server])
         harness.softswitch.handover.listen(path)
-        inherited = handover.ask(path)
+        inherited = handover.request_handover(path)
         assert inherited is not None
-        assert {item.entry.server: item.zone for item in inherited.listed.servers}["s-00000009"] == "east"
+        assert {item.entry.server: item.zone for item in inherited.pool_list.servers}["s-00000009"] == "east"
     finally:
         harness.close()
 
@@ -280,7 +290,12 @@
         if coordinator_state != "down":
             listener = cleanup.enter_context(closing(socket.create_server(coordinator)))
             listener.settimeout(5)
-        config = {**TOLD, "listen": "%s:%d" % address, "known": known, "coordinator": "%s:%d" % coordinator}
+        config = {
+            **BASE_CONFIG,
+            "listen": "%s:%d" % address,
+            "known": known,
+            "coordinator": "%s:%d" % coordinator,
+        }
         started_s = time.monotonic()
         process = start(tmp_path, config, BALANCER_MANAGEMENT="%s:%d" % operators)
         await_line(process, "started")
@@ -289,9 +304,9 @@
             if coordinator_state != "silent":
                 is_complete, number = (0, 0) if coordinator_state == "silent after a frame" else (1, 2)
                 stream.sendall(struct.pack(">IQB", 9, number, is_complete))
-        assert managed(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
+        assert management_call(operators, "/v1/readyz").startswith(b"HTTP/1.1 200 ")
         with socket.create_connection(address, timeout=5) as caller:
-            assert ask(caller) == encode(PASSED)
+            assert send_test(caller) == encode(PASSED)
             assert time.monotonic() - started_s < READY_S
             if coordinator_state == "complete but empty":
                 await_line(process, "list")
--- a/tests/rules/test_snapshots.py
+++ b/tests/rules/test_snapshots.py
@@ -65,7 +65,7 @@
 def read_settings(text: str) -> RulesSettings:
     fields = Fields(parse(text, "file"), "file")
     settings = read_rules_settings(fields)
-    fields.done()
+    fields.reject_unknown()
     return settings
 
 
