--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from pearloom.core.calls import Media
-from pearloom.iax2.doubt import End, Stage
+from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.frames import (
     Elements,
 )
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -10,7 +10,7 @@
 
 from pearloom.core.calls import Media, MediaKind
 from pearloom.core.errors import Malformed
-from pearloom.iax2.doubt import CAUSE_TEMPORARY_FAILURE
+from pearloom.iax2.attempt_endings import CAUSE_TEMPORARY_FAILURE
 from pearloom.iax2.events import (
     Event,
     Gone,
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -17,7 +17,11 @@
 from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import Admission
-from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NETWORK_OUT_OF_ORDER, CAUSE_TEMPORARY_FAILURE
+from pearloom.iax2.attempt_endings import (
+    CAUSE_CONGESTION,
+    CAUSE_NETWORK_OUT_OF_ORDER,
+    CAUSE_TEMPORARY_FAILURE,
+)
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import Element, Elements, Full, Iax, Mini, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -6,8 +6,8 @@
 from enum import Enum
 
 from pearloom.core.errors import Malformed
+from pearloom.iax2.attempt_endings import CAUSE_NORMAL, NEVER_RAN, End, Stage, may_send
 from pearloom.iax2.challenge import md5_result
-from pearloom.iax2.doubt import CAUSE_NORMAL, NEVER_RAN, End, Stage, may_send
 from pearloom.iax2.events import (
     Answered,
     Event,
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -10,7 +10,7 @@
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
 from pearloom.core.logs import log_event
-from pearloom.iax2.doubt import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
+from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
 from pearloom.iax2.frames import Elements, Full, Iax, Mini, decode
 from pearloom.iax2.legs import Legs, answer_without_leg
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pearloom.core.calls import Media, MediaKind
-from pearloom.iax2.doubt import End, Stage
+from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
 from pearloom.iax2.frames import Control, Element, Elements, Full, Iax, Mini, Type, decode
 from pearloom.iax2.in_leg import InLeg
