--- a/benchmarks/guards/iax2.py
+++ b/benchmarks/guards/iax2.py
@@ -50,7 +50,7 @@
     Guard("parts of a description in order", "iax2/frames.py", "not block or block[0] != place", "not block", (CODEC,)),
     Guard("a description's length fits", "iax2/frames.py", "len(whole) - 2 != whole[0] << 8 | whole[1]", "False", (CODEC,)),
     Guard("a subclass is bounded", "iax2/frames.py", "> 63:", "> 255:", (CODEC,)),
-    Guard("call numbers rest", "iax2/numbers.py", ">= RESTS_MS", ">= 0", (UNITS, f"{BAD_CALLERS}::test_call_numbers_that_run_out_are_not_used_again_and_their_calls_go_elsewhere")),
+    Guard("call numbers rest", "iax2/call_numbers.py", ">= RESTS_MS", ">= 0", (UNITS, f"{BAD_CALLERS}::test_call_numbers_that_run_out_are_not_used_again_and_their_calls_go_elsewhere")),
     Guard("a silent server's calls end", "iax2/liveness.py", ">= LOST_MS:", ">= 1e9:",
           (UNITS, f"{FAILURES}::test_a_server_that_loses_its_calls_has_them_released_within_8_s")),
     Guard("INVAL brings all legs under question", "iax2/liveness.py", "if self._audit_from < 0:", "if False:", (UNITS,)),
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -7,10 +7,10 @@
 from typing import Generic, TypeVar
 
 from pearloom.core.exchange import Exchange
+from pearloom.iax2.call_numbers import CallNumbers
 from pearloom.iax2.events import Event
 from pearloom.iax2.frames import Full, Iax, Type, encode_full
 from pearloom.iax2.leg import Leg
-from pearloom.iax2.numbers import CallNumbers
 
 NO_LEG = 0x7FFF  # this side's call number in what is answered without a leg
 L = TypeVar("L", bound=Leg)
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -11,8 +11,8 @@
 from pearloom.iax2 import tokens
 from pearloom.iax2.admission import PROVED_KEPT, Admission, Limits, Turned
 from pearloom.iax2.attempt_endings import NEVER_RAN, End, Stage, may_send, proves, rejected
+from pearloom.iax2.call_numbers import RESTS_MS, CallNumbers
 from pearloom.iax2.liveness import AUDIT_MS, EACH_MS, LOST_MS, QUIET_MS, Liveness
-from pearloom.iax2.numbers import RESTS_MS, CallNumbers
 from pearloom.iax2.out_leg import MOVES, Signal
 from pearloom.interface import Ending
 
