--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -15,7 +15,7 @@
 from pearloom.core.errors import Malformed
 from pearloom.fakes.journal import Journal, What
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
-from pearloom.iax2 import tokens
+from pearloom.iax2 import call_tokens
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import (
     Element,
@@ -128,10 +128,10 @@
         if leg is not None and leg.key == key:
             self._flush(leg, leg.feed(frame, self._now()))
             return
-        if key in self._spent and self._now() - self._spent[key] < tokens.LIVES_MS:
+        if key in self._spent and self._now() - self._spent[key] < call_tokens.LIVES_MS:
             return
-        if self._asks_token and not tokens.holds(self._key, source, frame.source, token, self._now()):
-            made = tokens.issue(self._key, source, frame.source, self._now())
+        if self._asks_token and not call_tokens.holds(self._key, source, frame.source, token, self._now()):
+            made = call_tokens.issue(self._key, source, frame.source, self._now())
             asked = Elements([(Element.CALLTOKEN, made)]).encode()
             self._send(answer_without_leg(frame, Iax.CALLTOKEN, asked), source)
             return
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -15,7 +15,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.set_up_validation import SetUpValidator
-from pearloom.iax2 import tokens
+from pearloom.iax2 import call_tokens
 from pearloom.iax2.admission import Admission
 from pearloom.iax2.attempt_endings import (
     CAUSE_CONGESTION,
@@ -161,7 +161,7 @@
             self._malformed(elements.reason)
             return
         token = elements.get(Element.CALLTOKEN)
-        if not token or not tokens.holds(self._key, source, frame.source, token, now):
+        if not token or not call_tokens.holds(self._key, source, frame.source, token, now):
             self._ask_token(frame, source, token, now)
             return
         self._admission.showed(source[0], now)
@@ -188,7 +188,7 @@
             self._port.send(answer_without_leg(frame, Iax.REJECT, Elements(pairs).encode()), source)
             return
         self._counters.add("iax2_tokens_out")
-        made = tokens.issue(self._key, source, frame.source, now)
+        made = call_tokens.issue(self._key, source, frame.source, now)
         elements = Elements([(Element.CALLTOKEN, made)]).encode()
         self._port.send(answer_without_leg(frame, Iax.CALLTOKEN, elements), source)
 
@@ -250,7 +250,7 @@
             self.turned_away(leg, CAUSE_INVALID, offer, 0.0)
             return
         # Guards against an answer after the give-up: the caller has waited since its first NEW.
-        offer.patience_ms -= tokens.age_ms(leg.token, self._now_ms())
+        offer.patience_ms -= call_tokens.age_ms(leg.token, self._now_ms())
         if offer.patience_ms <= 0:
             self.turned_away(leg, CAUSE_TEMPORARY_FAILURE, "too late", 0.0)
         elif exchange.has_call(offer.call) or exchange.is_recently_ended(offer.call):
@@ -281,7 +281,7 @@
             del self._by_peer[leg.peer]
         now = self._now_ms()
         self._spent[leg.token] = now
-        while len(self._spent) > TOKENS_KEPT or next(iter(self._spent.values())) < now - tokens.LIVES_MS:
+        while len(self._spent) > TOKENS_KEPT or next(iter(self._spent.values())) < now - call_tokens.LIVES_MS:
             self._spent.popitem(last=False)
 
     # --- what the exchange tells ----------------------------------------------------------------------------
