--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -20,10 +20,10 @@
 from pearloom.fakes.rules import SLACK_MS
 from pearloom.fakes.script import Faults, Path
 from pearloom.iax2.call_numbers import CallNumbers
+from pearloom.iax2.element_mapping import ULAW, call_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Rejected
 from pearloom.iax2.frames import Elements, Full, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
-from pearloom.iax2.mapping import ULAW, call_elements
 from pearloom.iax2.out_leg import OutLeg
 
 REFUSED = (34, 42, 102)  # Q.850 causes that say: trying again is harmless
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -16,6 +16,7 @@
 from pearloom.fakes.journal import Journal, What
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
 from pearloom.iax2 import call_tokens
+from pearloom.iax2.element_mapping import ULAW, answer_elements
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import (
     Element,
@@ -29,7 +30,6 @@
 )
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import answer_without_leg
-from pearloom.iax2.mapping import ULAW, answer_elements
 
 PROTOCOL = "iax2"
 _Peer = tuple[Address, int]
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -22,12 +22,12 @@
     CAUSE_NETWORK_OUT_OF_ORDER,
     CAUSE_TEMPORARY_FAILURE,
 )
+from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import Element, Elements, Full, Iax, Mini, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
-from pearloom.iax2.mapping import answer_elements, read_offer, secret_of
 from pearloom.iax2.settings import Iax2
 from pearloom.iax2.udp import UdpPort
 
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -11,11 +11,11 @@
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
 from pearloom.core.logs import log_event
 from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
+from pearloom.iax2.element_mapping import offer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
 from pearloom.iax2.frames import Elements, Full, Iax, Mini, decode
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
-from pearloom.iax2.mapping import offer_elements
 from pearloom.iax2.out_leg import OutLeg
 from pearloom.iax2.udp import UdpPort
 from pearloom.interface import Ending, PoolState
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -11,11 +11,11 @@
 
 from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.attempt_endings import End, Stage
+from pearloom.iax2.element_mapping import answer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
 from pearloom.iax2.frames import Control, Element, Elements, Full, Iax, Mini, Type, decode
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.leg import Leg
-from pearloom.iax2.mapping import answer_elements
 from pearloom.iax2.out_leg import OutLeg
 
 VOICE = Media(MediaKind.VOICE, 4, 0, b"hello")
