--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -29,7 +29,7 @@
     decode_elements,
     encode_mini,
 )
-from pearloom.iax2.speech import Speech
+from pearloom.iax2.media_timestamps import Speech
 from pearloom.iax2.transport import Transport, Verdict
 
 _IAX, _ACK = int(Type.IAX), int(Iax.ACK)
