--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -22,7 +22,7 @@
 from pearloom.iax2.call_numbers import CallNumbers
 from pearloom.iax2.element_mapping import ULAW, call_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Rejected
-from pearloom.iax2.frames import Elements, Full, Iax, decode
+from pearloom.iax2.frames import Elements, FullFrame, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
 from pearloom.iax2.out_leg import OutLeg
 
@@ -252,7 +252,7 @@
         if isinstance(frames, Malformed):
             return
         for frame in frames:
-            if isinstance(frame, Full):
+            if isinstance(frame, FullFrame):
                 leg = self._legs.get(frame.destination)
                 if leg is None and not frame.is_iax(Iax.INVAL):
                     self._out.carry(answer_without_leg(frame, Iax.INVAL), self._put)
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -21,7 +21,7 @@
 from pearloom.iax2.frames import (
     Element,
     Elements,
-    Full,
+    FullFrame,
     Iax,
     Mini,
     decode,
@@ -110,16 +110,16 @@
             return
         for frame in frames:
             leg = self._legs.get((source, frame.source))
-            if isinstance(frame, Full) and any(frame.is_iax(kind) for kind in self.deaf_to):
+            if isinstance(frame, FullFrame) and any(frame.is_iax(kind) for kind in self.deaf_to):
                 continue
-            if isinstance(frame, Full) and frame.is_iax(Iax.NEW):
+            if isinstance(frame, FullFrame) and frame.is_iax(Iax.NEW):
                 self._new(frame, source, leg)
             elif leg is not None and (isinstance(frame, Mini) or frame.destination in (0, leg.source)):
                 self._flush(leg, leg.feed(frame, self._now()))
-            elif isinstance(frame, Full) and not frame.is_iax(Iax.INVAL):
+            elif isinstance(frame, FullFrame) and not frame.is_iax(Iax.INVAL):
                 self._send(answer_without_leg(frame, Iax.INVAL), source)
 
-    def _new(self, frame: Full, source: Address, leg: _ServerLeg | None) -> None:
+    def _new(self, frame: FullFrame, source: Address, leg: _ServerLeg | None) -> None:
         elements = decode_elements(frame.data)
         if isinstance(elements, Malformed):
             return
--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)  # not frozen: those are twice as dear to make
-class Full:
+class FullFrame:
     """A full frame; `subclass` is the value that it stands for, whatever its form on the wire."""
 
     source: int
@@ -152,7 +152,7 @@
     data: bytes
 
 
-def encode_full(frame: Full) -> bytes:
+def encode_full(frame: FullFrame) -> bytes:
     """The frame's bytes."""
     head = _FULL.pack(
         _HIGH | frame.source,
@@ -193,7 +193,7 @@
     return _SHIFTED | (value.bit_length() - 1)
 
 
-def decode(data: bytes) -> list[Full | Mini] | Malformed:
+def decode(data: bytes) -> list[FullFrame | Mini] | Malformed:
     """The frames of one datagram: one, or those of a meta frame."""
     if len(data) > MOST_BYTES:
         return Malformed("a datagram over 16 KiB", fatal=False)
@@ -207,7 +207,7 @@
     return _meta(data)
 
 
-def _full(data: bytes) -> list[Full | Mini] | Malformed:
+def _full(data: bytes) -> list[FullFrame | Mini] | Malformed:
     if len(data) < _FULL.size:
         return Malformed("a full frame is cut short", fatal=False)
     source, destination, stamp, oseq, iseq, kind, subclass = _FULL.unpack_from(data)
@@ -219,7 +219,7 @@
             return Malformed(f"a subclass of 2**{power}", fatal=False)
         subclass = 1 << power
     return [
-        Full(
+        FullFrame(
             source & _LOW,
             destination & _LOW,
             stamp,
@@ -233,13 +233,13 @@
     ]
 
 
-def _meta(data: bytes) -> list[Full | Mini] | Malformed:
+def _meta(data: bytes) -> list[FullFrame | Mini] | Malformed:
     if len(data) < _META.size:
         return Malformed("a meta frame is cut short", fatal=False)
     _, command, how, stamp = _META.unpack_from(data)
     if command != _TRUNK:
         return Malformed(f"meta command {command}", fatal=False)
-    minis: list[Full | Mini] = []
+    minis: list[FullFrame | Mini] = []
     at = _META.size
     while at < len(data):
         if len(data) - at < _PAIR.size:
--- a/pearloom/iax2/in_leg.py
+++ b/pearloom/iax2/in_leg.py
@@ -15,7 +15,7 @@
     Control,
     Element,
     Elements,
-    Full,
+    FullFrame,
     Iax,
     Type,
     decode_elements,
@@ -27,7 +27,7 @@
     """A leg on which this side was called."""
 
     def __init__(
-        self, source: int, new: Full, elements: Elements, secret: str, challenge: str, now_ms: float
+        self, source: int, new: FullFrame, elements: Elements, secret: str, challenge: str, now_ms: float
     ):
         """`new` has shown a good token; with a secret set, its caller has to answer the challenge first."""
         super().__init__(source, now_ms, new.source)
@@ -57,7 +57,7 @@
         self._events.append(Offered(self._elements))
         return self._taken()
 
-    def _own(self, frame: Full, now_ms: float) -> bool:
+    def _own(self, frame: FullFrame, now_ms: float) -> bool:
         if frame.subclass == Iax.AUTHREP and not self.offered:
             elements = decode_elements(frame.data)
             told = None if isinstance(elements, Malformed) else elements.get(Element.MD5_RESULT)
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -22,7 +22,7 @@
     UNNUMBERED,
     Element,
     Elements,
-    Full,
+    FullFrame,
     Iax,
     Mini,
     Type,
@@ -91,7 +91,7 @@
         self.transport.send(Type.IAX, kind, Elements(elements).encode(), now_ms, steady=True)
 
     # --- what comes --------------------------------------------------------------------------------------
-    def feed(self, frame: Full | Mini, now_ms: float) -> list[Event]:
+    def feed(self, frame: FullFrame | Mini, now_ms: float) -> list[Event]:
         """Take a frame that belongs to this leg."""
         if self.over:
             return []
@@ -130,7 +130,7 @@
         self.transport.forget()
         self._events.append(Over())
 
-    def _full(self, frame: Full, now_ms: float) -> None:
+    def _full(self, frame: FullFrame, now_ms: float) -> None:
         verdict = self.transport.heard(frame, now_ms)
         iax = frame.subclass if frame.type == _IAX else 0
         if iax == _ACK and self.transport.destination:
@@ -161,7 +161,7 @@
         elif frame.type == Type.DTMF and not self.closing and frame.subclass < 128:
             self._events.append(Heard(Media(MediaKind.DIGIT, 0, frame.stamp, bytes((frame.subclass,)))))
 
-    def _iax(self, frame: Full, now_ms: float) -> None:
+    def _iax(self, frame: FullFrame, now_ms: float) -> None:
         match frame.subclass:
             case Iax.PING | Iax.POKE:
                 self.transport.send(Type.IAX, Iax.PONG, b"", now_ms, stamp=frame.stamp)
@@ -179,7 +179,7 @@
                     unknown = Elements([(Element.IAX_UNKNOWN, bytes((frame.subclass & 0xFF,)))])
                     self.transport.send(Type.IAX, Iax.UNSUPPORT, unknown.encode(), now_ms)
 
-    def _peer_ended(self, frame: Full, early: bool = False) -> None:
+    def _peer_ended(self, frame: FullFrame, early: bool = False) -> None:
         # One that can't be read still ends the leg: as a failure that says nothing more.
         elements = decode_elements(frame.data)
         if isinstance(elements, Malformed):
@@ -191,14 +191,14 @@
         self._end()
 
     # --- what the two ends fill in -----------------------------------------------------------------------
-    def _own(self, frame: Full, now_ms: float) -> bool:
+    def _own(self, frame: FullFrame, now_ms: float) -> bool:
         """An IAX frame of this end's own; False where it means nothing here."""
         return False
 
-    def _control(self, frame: Full, now_ms: float) -> None:
+    def _control(self, frame: FullFrame, now_ms: float) -> None:
         """A control frame."""
 
-    def _unnumbered(self, frame: Full, now_ms: float) -> None:
+    def _unnumbered(self, frame: FullFrame, now_ms: float) -> None:
         """A frame outside the order."""
 
     def _hung_up(self, cause: int, elements: Elements, early: bool) -> None:
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -24,7 +24,7 @@
 )
 from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
-from pearloom.iax2.frames import Element, Elements, Full, Iax, Mini, decode, decode_elements
+from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, Mini, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
@@ -126,24 +126,24 @@
                 leg = self._leg_of(frame, source)
             if leg is not None:
                 self._feed(leg, frame)
-            elif isinstance(frame, Full):
+            elif isinstance(frame, FullFrame):
                 self._without_leg(frame, source)
 
     def _malformed(self, reason: str) -> None:
         self._counters.add("malformed_from_callers")
         log_event(logging.WARNING, "caller_malformed", reason=reason, call="", closed=False)
 
-    def _feed(self, leg: CallerLeg, frame: Full | Mini) -> None:
+    def _feed(self, leg: CallerLeg, frame: FullFrame | Mini) -> None:
         now = self._now_ms()
         self._liveness.heard(leg.source, now)
         self._legs.took(leg, leg.feed(frame, now))
 
-    def _leg_of(self, frame: Full, source: Address) -> CallerLeg | None:
+    def _leg_of(self, frame: FullFrame, source: Address) -> CallerLeg | None:
         """Guards against frames that speak for another's leg: address and both numbers have to fit."""
         leg = self._by_peer.get((source, frame.source))
         return leg if leg is not None and frame.destination in (0, leg.source) else None
 
-    def _without_leg(self, frame: Full, source: Address) -> None:
+    def _without_leg(self, frame: FullFrame, source: Address) -> None:
         if frame.is_iax(Iax.POKE):
             # A front's test: one that is drained says nothing, as IAX2 has no word for no.
             if self._takes_work() and self._admission.may_reply(source[0], self._now_ms()):
@@ -154,7 +154,7 @@
                 self._port.send(answer_without_leg(frame, Iax.INVAL), source)
 
     # --- NEW ------------------------------------------------------------------------------------------------
-    def _new(self, frame: Full, source: Address) -> None:
+    def _new(self, frame: FullFrame, source: Address) -> None:
         now = self._now_ms()
         elements = decode_elements(frame.data)
         if isinstance(elements, Malformed):
@@ -176,7 +176,7 @@
                 self._forgotten(leg)
             self._open(frame, source, elements, token, now)
 
-    def _ask_token(self, frame: Full, source: Address, token: bytes | None, now: float) -> None:
+    def _ask_token(self, frame: FullFrame, source: Address, token: bytes | None, now: float) -> None:
         """Keep nothing: whoever hears the answer brings it back."""
         if not self._admission.may_reply(source[0], now):
             self._counters.add("iax2_tokens_withheld")
@@ -192,7 +192,7 @@
         elements = Elements([(Element.CALLTOKEN, made)]).encode()
         self._port.send(answer_without_leg(frame, Iax.CALLTOKEN, elements), source)
 
-    def _open(self, frame: Full, source: Address, elements: Elements, token: bytes, now: float) -> None:
+    def _open(self, frame: FullFrame, source: Address, elements: Elements, token: bytes, now: float) -> None:
         secret = secret_of(elements, self._settings.secrets)
         turned = self._admission.turns(source[0], bool(secret))
         number = self._legs.number() if turned is None and secret is not None else None
--- a/pearloom/iax2/media_timestamps.py
+++ b/pearloom/iax2/media_timestamps.py
@@ -4,7 +4,7 @@
 
 from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.frames import (
-    Full,
+    FullFrame,
     Mini,
 )
 
@@ -21,7 +21,7 @@
         self._stamp_out = 0
         self._shift: int | None = None
 
-    def full_in(self, frame: Full) -> Media:
+    def full_in(self, frame: FullFrame) -> Media:
         """A full frame of voice came."""
         self._codec_in, self._stamp_in = frame.subclass, frame.stamp
         return Media(MediaKind.VOICE, frame.subclass, frame.stamp, frame.data)
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -20,7 +20,7 @@
     Control,
     Element,
     Elements,
-    Full,
+    FullFrame,
     Iax,
     Type,
     decode_elements,
@@ -109,13 +109,13 @@
         self.stage = done
         return True
 
-    def _full(self, frame: Full, now_ms: float) -> None:
+    def _full(self, frame: FullFrame, now_ms: float) -> None:
         before = self.transport.unconfirmed
         super()._full(frame, now_ms)
         if self.transport.unconfirmed < before and self.stage in _UNHEARD and not frame.is_iax(Iax.CALLTOKEN):
             self._move(Signal.ACK)
 
-    def _unnumbered(self, frame: Full, now_ms: float) -> None:
+    def _unnumbered(self, frame: FullFrame, now_ms: float) -> None:
         if frame.is_iax(Iax.CALLTOKEN) and self._move(Signal.TOKEN):
             elements = decode_elements(frame.data)
             token = None if isinstance(elements, Malformed) else elements.get(Element.CALLTOKEN)
@@ -125,7 +125,7 @@
             self.transport.restart()
             self._new(token, Stage.TOKEN_SENT, now_ms)
 
-    def _own(self, frame: Full, now_ms: float) -> bool:
+    def _own(self, frame: FullFrame, now_ms: float) -> bool:
         if frame.subclass == Iax.AUTHREQ:
             self._challenge(frame, now_ms)
         elif frame.subclass == Iax.ACCEPT:
@@ -134,7 +134,7 @@
             return False
         return True
 
-    def _challenge(self, frame: Full, now_ms: float) -> None:
+    def _challenge(self, frame: FullFrame, now_ms: float) -> None:
         # Guards against a peer that challenges without end, each time with a proof that nothing has begun.
         if self._challenged or not self._move(Signal.CHALLENGE):
             return
@@ -148,7 +148,7 @@
         result = Elements([(Element.MD5_RESULT, md5_result(challenge, self._secret).encode())])
         self._begin(Iax.AUTHREP, result.encode(), Stage.AUTH_SENT, now_ms)
 
-    def _control(self, frame: Full, now_ms: float) -> None:
+    def _control(self, frame: FullFrame, now_ms: float) -> None:
         match frame.subclass:
             case Control.ANSWER:
                 self._answer(frame, now_ms)
@@ -158,7 +158,7 @@
                 # Their causes come with the HANGUP that follows.
                 self._move(Signal.PROGRESS)
 
-    def _answer(self, frame: Full, now_ms: float) -> None:
+    def _answer(self, frame: FullFrame, now_ms: float) -> None:
         stage = self.stage
         if not self._move(Signal.ANSWER):
             return  # a second one, or one that crossed this side's HANGUP, changes nothing
--- a/pearloom/iax2/transport.py
+++ b/pearloom/iax2/transport.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from pearloom.iax2.frames import Full, Iax, Type, encode_full, mark_repeated
+from pearloom.iax2.frames import FullFrame, Iax, Type, encode_full, mark_repeated
 
 FIRST_RTT_MS = 60.0  # taken until the first sample: two regions and some work
 LEAST_RETRY_MS = 50.0
@@ -87,7 +87,7 @@
             return False
         told = self.stamp(now_ms) if stamp is None else stamp
         whole = encode_full(
-            Full(self.source, self.destination, told, self._oseq, self._iseq, kind, subclass, data)
+            FullFrame(self.source, self.destination, told, self._oseq, self._iseq, kind, subclass, data)
         )
         wait = min(max(2 * self._rtt_ms, LEAST_RETRY_MS), MOST_RETRY_MS)
         self._pending.append(_Sent(self._oseq, whole, now_ms, now_ms + wait, wait, 1, may_repeat, steady))
@@ -111,7 +111,9 @@
     def reply(self, kind: Iax, stamp: int) -> None:
         """Send a frame outside the order: ACK and INVAL take the time of what they answer."""
         self.out.append(
-            encode_full(Full(self.source, self.destination, stamp, self._oseq, self._iseq, Type.IAX, kind))
+            encode_full(
+                FullFrame(self.source, self.destination, stamp, self._oseq, self._iseq, Type.IAX, kind)
+            )
         )
 
     def restart(self) -> None:
@@ -136,7 +138,7 @@
                 sent.may_repeat = None
                 stamp = int.from_bytes(sent.data[4:8], "big")
                 sent.data = encode_full(
-                    Full(self.source, self.destination, stamp, sent.oseq, self._iseq, Type.IAX, Iax.PING)
+                    FullFrame(self.source, self.destination, stamp, sent.oseq, self._iseq, Type.IAX, Iax.PING)
                 )
 
     @property
@@ -145,7 +147,7 @@
         return len(self._pending)
 
     # --- receiving ---------------------------------------------------------------------------------------
-    def heard(self, frame: Full, now_ms: float) -> Verdict:
+    def heard(self, frame: FullFrame, now_ms: float) -> Verdict:
         """Take a full frame's numbers; `frame.iseq` confirms what the peer has."""
         self._confirm(frame, now_ms)
         if not frame.numbered:
@@ -166,7 +168,7 @@
             self.reply(Iax.VNAK, frame.stamp)
         return Verdict.EARLY
 
-    def _confirm(self, frame: Full, now_ms: float) -> None:
+    def _confirm(self, frame: FullFrame, now_ms: float) -> None:
         # Guards against a frame of long ago whose number would confirm all that is out: it must lie within.
         confirmed = (frame.iseq - self._first_unconfirmed) & 0xFF
         if confirmed > len(self._pending):
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -13,7 +13,7 @@
 from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.element_mapping import offer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
-from pearloom.iax2.frames import Elements, Full, Iax, Mini, decode
+from pearloom.iax2.frames import Elements, FullFrame, Iax, Mini, decode
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
 from pearloom.iax2.out_leg import OutLeg
@@ -225,12 +225,12 @@
             if leg is not None:
                 self._liveness.heard(leg.source, now)
                 self._legs.took(leg, leg.feed(frame, now))
-            elif isinstance(frame, Full) and not frame.is_iax(Iax.INVAL):
+            elif isinstance(frame, FullFrame) and not frame.is_iax(Iax.INVAL):
                 # Guards against a leg that the server keeps and nobody here knows: it lets go of it.
                 self._side.counters.add("unknown_from_servers")
                 self._send(answer_without_leg(frame, Iax.INVAL))
 
-    def _leg_of(self, frame: Full | Mini) -> IaxLeg | None:
+    def _leg_of(self, frame: FullFrame | Mini) -> IaxLeg | None:
         """Guards against an answer under another leg's number: both numbers have to fit."""
         if isinstance(frame, Mini):
             return self._by_theirs.get(frame.source)
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -7,12 +7,12 @@
 
 from pearloom.core.errors import Malformed
 from pearloom.iax2 import frames
-from pearloom.iax2.frames import Element, Elements, Full, Mini
+from pearloom.iax2.frames import Element, Elements, FullFrame, Mini
 
 NUMBERS = st.integers(1, 0x7FFF)
 OCTETS = st.integers(0, 255)
 FULL = st.builds(
-    Full,
+    FullFrame,
     source=NUMBERS,
     destination=st.integers(0, 0x7FFF),
     stamp=st.integers(0, 0xFFFFFFFF),
@@ -27,14 +27,14 @@
 
 
 @given(FULL)
-def test_full_frames_come_back(frame: Full) -> None:
+def test_full_frames_come_back(frame: FullFrame) -> None:
     assert frames.decode(frames.encode_full(frame)) == [frame]
 
 
 @given(FULL, OCTETS)
-def test_a_repeat_differs_in_its_mark_and_acknowledgement_alone(frame: Full, iseq: int) -> None:
+def test_a_repeat_differs_in_its_mark_and_acknowledgement_alone(frame: FullFrame, iseq: int) -> None:
     again = frames.mark_repeated(frames.encode_full(frame), iseq)
-    wanted = Full(frame.source, frame.destination, frame.stamp, frame.oseq, iseq, frame.type,
+    wanted = FullFrame(frame.source, frame.destination, frame.stamp, frame.oseq, iseq, frame.type,
                   frame.subclass, frame.data, True)  # fmt: skip
     assert frames.decode(again) == [wanted]
 
@@ -57,7 +57,7 @@
 def test_a_new_as_rfc_5456_lays_it_out() -> None:
     data = bytes.fromhex("8005 0000 00000007 00 00 06 01" "0b02 0002" "0103 313233".replace(" ", ""))
     (frame,) = frames.decode(data)  # type: ignore[misc]
-    assert frame == Full(5, 0, 7, 0, 0, 6, 1, data[12:])
+    assert frame == FullFrame(5, 0, 7, 0, 0, 6, 1, data[12:])
     elements = frames.decode_elements(frame.data)
     assert isinstance(elements, Elements)
     assert elements.number(Element.VERSION, 2) == 2 and elements.text(Element.CALLED_NUMBER) == "123"
@@ -70,7 +70,7 @@
         assert found.reason
         return
     for frame in found:
-        if isinstance(frame, Full):
+        if isinstance(frame, FullFrame):
             elements = frames.decode_elements(frame.data)
             if isinstance(elements, Elements):
                 frames.join_description(elements)
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -13,7 +13,7 @@
 from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.element_mapping import answer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
-from pearloom.iax2.frames import Control, Element, Elements, Full, Iax, Mini, Type, decode
+from pearloom.iax2.frames import Control, Element, Elements, FullFrame, Iax, Mini, Type, decode
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.leg import Leg
 from pearloom.iax2.out_leg import OutLeg
@@ -21,7 +21,7 @@
 VOICE = Media(MediaKind.VOICE, 4, 0, b"hello")
 
 
-def parts(leg: Leg) -> list[Full | Mini]:
+def parts(leg: Leg) -> list[FullFrame | Mini]:
     return [one for data in leg.take() for one in decode(data)]  # type: ignore[union-attr]
 
 
@@ -51,15 +51,15 @@
                 if loses is None or loses.random() >= share:
                     self.bring(forth, frame)
 
-    def bring(self, forth: bool, frame: Full | Mini) -> None:
+    def bring(self, forth: bool, frame: FullFrame | Mini) -> None:
         if not forth:
             self.told += self.out.feed(frame, self.now)
         elif self.inside is not None:
             self.heard += self.inside.feed(frame, self.now)
-        elif isinstance(frame, Full) and frame.is_iax(Iax.NEW):
+        elif isinstance(frame, FullFrame) and frame.is_iax(Iax.NEW):
             if self.token and frame.data.endswith(bytes((Element.CALLTOKEN, 0))):
                 asked = Elements([(Element.CALLTOKEN, b"tok")]).encode()
-                reply = Full(1, frame.source, frame.stamp, 0, 1, Type.IAX, Iax.CALLTOKEN, asked)
+                reply = FullFrame(1, frame.source, frame.stamp, 0, 1, Type.IAX, Iax.CALLTOKEN, asked)
                 self.told += self.out.feed(reply, self.now)
                 return
             self.inside = InLeg(9, frame, Elements(), self.secret, "chal", self.now)
@@ -134,10 +134,10 @@
     pair.wanted = False
     pair.go_on(150.0)
     assert pair.told == [Failed(Stage.SENT, End.WITHDRAWN)]
-    sent = [one for one in parts(pair.out) if isinstance(one, Full)]
+    sent = [one for one in parts(pair.out) if isinstance(one, FullFrame)]
     assert [one.subclass for one in sent] == [Iax.HANGUP]
     pair.go_on(120.0)
-    assert Iax.NEW not in {one.subclass for one in parts(pair.out) if isinstance(one, Full)}
+    assert Iax.NEW not in {one.subclass for one in parts(pair.out) if isinstance(one, FullFrame)}
 
 
 def test_a_peer_that_acknowledges_and_falls_silent_stays_in_doubt() -> None:
@@ -205,7 +205,7 @@
     pair.out.ping(10.0)
     parts(pair.out)  # lost
     pair.out.hang_up(16, 11.0)
-    (last,) = (one for one in parts(pair.out) if isinstance(one, Full))
+    (last,) = (one for one in parts(pair.out) if isinstance(one, FullFrame))
     assert pair.inside is not None
     assert kinds(pair.inside.feed(last, 12.0)) == [HungUp, Over]
 
@@ -215,7 +215,7 @@
     pair.carry()
     inside = pair.answer()
     inside.hang_up(16, 1.0)
-    last = [one for one in parts(inside) if isinstance(one, Full)][-1]
+    last = [one for one in parts(inside) if isinstance(one, FullFrame)][-1]
     assert pair.out.feed(last, 2.0) == [Failed(Stage.HEARD, End.CUT), Over()]
 
 
@@ -231,7 +231,7 @@
 
 
 def test_inval_ends_a_standing_leg_and_puts_a_set_up_in_doubt() -> None:
-    inval = Full(9, 5, 0, 0, 0, Type.IAX, Iax.INVAL)
+    inval = FullFrame(9, 5, 0, 0, 0, Type.IAX, Iax.INVAL)
     pair = Pair()
     pair.carry()
     assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, End.UNKNOWN_THERE), Over()]
@@ -261,7 +261,7 @@
     pair.inside.transport.send(Type.IAX, Iax.LAGRQ, b"", 1.0)
     for frame in parts(pair.inside):
         pair.bring(False, frame)
-    said = [one.subclass for one in parts(pair.out) if isinstance(one, Full)]
+    said = [one.subclass for one in parts(pair.out) if isinstance(one, FullFrame)]
     assert said == [Iax.TXREJ, Iax.UNSUPPORT, Iax.LAGRP]
 
 
--- a/tests/iax2/test_transport.py
+++ b/tests/iax2/test_transport.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pearloom.iax2.frames import Full, Iax, Type, decode
+from pearloom.iax2.frames import FullFrame, Iax, Type, decode
 from pearloom.iax2.transport import MOST_TRIES, MOST_UNCONFIRMED, Transport, Verdict
 
 
-def frames(transport: Transport) -> list[Full]:
-    return [one for data in transport.take() for one in decode(data) if isinstance(one, Full)]  # type: ignore[union-attr]
+def frames(transport: Transport) -> list[FullFrame]:
+    return [one for data in transport.take() for one in decode(data) if isinstance(one, FullFrame)]  # type: ignore[union-attr]
 
 
 def text(transport: Transport, word: bytes, now: float) -> bool:
@@ -88,9 +88,9 @@
     one = Transport(1, 0.0, 2)
     for _ in range(3):
         text(one, b"", 0.0)
-    one.heard(Full(2, 1, 0, 0, 200, Type.IAX, Iax.ACK), 1.0)
+    one.heard(FullFrame(2, 1, 0, 0, 200, Type.IAX, Iax.ACK), 1.0)
     assert one.unconfirmed == 3
-    one.heard(Full(2, 1, 0, 0, 2, Type.IAX, Iax.ACK), 1.0)
+    one.heard(FullFrame(2, 1, 0, 0, 2, Type.IAX, Iax.ACK), 1.0)
     assert one.unconfirmed == 1
 
 
@@ -130,7 +130,7 @@
 ) -> None:
     random = Random(seed)
     one, other = Transport(1, 0.0, 2), Transport(2, 0.0, 1)
-    under_way: list[tuple[float, Transport, Full]] = []
+    under_way: list[tuple[float, Transport, FullFrame]] = []
     got: list[bytes] = []
     for number in range(count):
         text(one, str(number).encode(), 0.0)
