--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -23,7 +23,7 @@
     Elements,
     FullFrame,
     Iax,
-    Mini,
+    MiniFrame,
     decode,
     decode_elements,
     join_description,
@@ -114,7 +114,7 @@
                 continue
             if isinstance(frame, FullFrame) and frame.is_iax(Iax.NEW):
                 self._new(frame, source, leg)
-            elif leg is not None and (isinstance(frame, Mini) or frame.destination in (0, leg.source)):
+            elif leg is not None and (isinstance(frame, MiniFrame) or frame.destination in (0, leg.source)):
                 self._flush(leg, leg.feed(frame, self._now()))
             elif isinstance(frame, FullFrame) and not frame.is_iax(Iax.INVAL):
                 self._send(answer_without_leg(frame, Iax.INVAL), source)
--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True)
-class Mini:
+class MiniFrame:
     """Voice in the codec of the last full voice frame; the low 16 bits of its time."""
 
     source: int
@@ -171,12 +171,12 @@
     return b"".join((data[:2], bytes((data[2] | 0x80,)), data[3:9], bytes((iseq,)), data[10:]))
 
 
-def encode_mini(frame: Mini) -> bytes:
+def encode_mini(frame: MiniFrame) -> bytes:
     """The frame's bytes."""
     return _MINI.pack(frame.source, frame.stamp & 0xFFFF) + frame.data
 
 
-def encode_meta(stamp: int, minis: Iterable[Mini]) -> bytes:
+def encode_meta(stamp: int, minis: Iterable[MiniFrame]) -> bytes:
     """Several mini frames of one peer in one datagram, each with its own time (8.1.3.2)."""
     entries = b"".join(
         _PAIR.pack(len(mini.data), mini.source) + struct.pack(">H", mini.stamp & 0xFFFF) + mini.data
@@ -193,7 +193,7 @@
     return _SHIFTED | (value.bit_length() - 1)
 
 
-def decode(data: bytes) -> list[FullFrame | Mini] | Malformed:
+def decode(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
     """The frames of one datagram: one, or those of a meta frame."""
     if len(data) > MOST_BYTES:
         return Malformed("a datagram over 16 KiB", fatal=False)
@@ -203,11 +203,11 @@
     if first & _HIGH:
         return _full(data)
     if first:
-        return [Mini(first, data[2] << 8 | data[3], data[_MINI.size :])]
+        return [MiniFrame(first, data[2] << 8 | data[3], data[_MINI.size :])]
     return _meta(data)
 
 
-def _full(data: bytes) -> list[FullFrame | Mini] | Malformed:
+def _full(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
     if len(data) < _FULL.size:
         return Malformed("a full frame is cut short", fatal=False)
     source, destination, stamp, oseq, iseq, kind, subclass = _FULL.unpack_from(data)
@@ -233,13 +233,13 @@
     ]
 
 
-def _meta(data: bytes) -> list[FullFrame | Mini] | Malformed:
+def _meta(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
     if len(data) < _META.size:
         return Malformed("a meta frame is cut short", fatal=False)
     _, command, how, stamp = _META.unpack_from(data)
     if command != _TRUNK:
         return Malformed(f"meta command {command}", fatal=False)
-    minis: list[FullFrame | Mini] = []
+    minis: list[FullFrame | MiniFrame] = []
     at = _META.size
     while at < len(data):
         if len(data) - at < _PAIR.size:
@@ -256,7 +256,7 @@
             source, length = one, other
         if not 0 < source < CALL_NUMBERS or len(data) - at < length:
             return Malformed("a meta entry that cannot be", fatal=False)
-        minis.append(Mini(source, stamp & 0xFFFF, data[at : at + length]))
+        minis.append(MiniFrame(source, stamp & 0xFFFF, data[at : at + length]))
         at += length
     return minis
 
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -24,7 +24,7 @@
     Elements,
     FullFrame,
     Iax,
-    Mini,
+    MiniFrame,
     Type,
     decode_elements,
     encode_mini,
@@ -77,7 +77,7 @@
         if whole:
             self.transport.send(Type.VOICE, media.codec, media.payload, now_ms, stamp=stamp)
         else:
-            self.transport.out.append(encode_mini(Mini(self.source, stamp, media.payload)))
+            self.transport.out.append(encode_mini(MiniFrame(self.source, stamp, media.payload)))
 
     def hang_up(self, cause: int, now_ms: float) -> None:
         """End the leg; `Over` follows once the peer has it, or gives no word for long."""
@@ -91,11 +91,11 @@
         self.transport.send(Type.IAX, kind, Elements(elements).encode(), now_ms, steady=True)
 
     # --- what comes --------------------------------------------------------------------------------------
-    def feed(self, frame: FullFrame | Mini, now_ms: float) -> list[Event]:
+    def feed(self, frame: FullFrame | MiniFrame, now_ms: float) -> list[Event]:
         """Take a frame that belongs to this leg."""
         if self.over:
             return []
-        if isinstance(frame, Mini):
+        if isinstance(frame, MiniFrame):
             media = None if self.closing else self._speech.mini_in(frame)
             if media is not None:
                 self._events.append(Heard(media))
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -24,7 +24,7 @@
 )
 from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
-from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, Mini, decode, decode_elements
+from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
@@ -117,7 +117,7 @@
             self._malformed(frames.reason)
             return
         for frame in frames:
-            if isinstance(frame, Mini):
+            if isinstance(frame, MiniFrame):
                 leg = self._by_peer.get((source, frame.source))
             elif frame.is_iax(Iax.NEW):
                 self._new(frame, source)
@@ -133,7 +133,7 @@
         self._counters.add("malformed_from_callers")
         log_event(logging.WARNING, "caller_malformed", reason=reason, call="", closed=False)
 
-    def _feed(self, leg: CallerLeg, frame: FullFrame | Mini) -> None:
+    def _feed(self, leg: CallerLeg, frame: FullFrame | MiniFrame) -> None:
         now = self._now_ms()
         self._liveness.heard(leg.source, now)
         self._legs.took(leg, leg.feed(frame, now))
--- a/pearloom/iax2/media_timestamps.py
+++ b/pearloom/iax2/media_timestamps.py
@@ -5,7 +5,7 @@
 from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.frames import (
     FullFrame,
-    Mini,
+    MiniFrame,
 )
 
 MINI_SPAN = 1 << 16  # ms that a mini frame's time tells apart
@@ -26,7 +26,7 @@
         self._codec_in, self._stamp_in = frame.subclass, frame.stamp
         return Media(MediaKind.VOICE, frame.subclass, frame.stamp, frame.data)
 
-    def mini_in(self, frame: Mini) -> Media | None:
+    def mini_in(self, frame: MiniFrame) -> Media | None:
         """Guards against voice whose codec nobody has told, and against a leap where 16 bits wrap."""
         if not self._codec_in:
             return None
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -13,7 +13,7 @@
 from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.element_mapping import offer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
-from pearloom.iax2.frames import Elements, FullFrame, Iax, Mini, decode
+from pearloom.iax2.frames import Elements, FullFrame, Iax, MiniFrame, decode
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
 from pearloom.iax2.out_leg import OutLeg
@@ -230,9 +230,9 @@
                 self._side.counters.add("unknown_from_servers")
                 self._send(answer_without_leg(frame, Iax.INVAL))
 
-    def _leg_of(self, frame: FullFrame | Mini) -> IaxLeg | None:
+    def _leg_of(self, frame: FullFrame | MiniFrame) -> IaxLeg | None:
         """Guards against an answer under another leg's number: both numbers have to fit."""
-        if isinstance(frame, Mini):
+        if isinstance(frame, MiniFrame):
             return self._by_theirs.get(frame.source)
         leg = self._legs.get(frame.destination)
         if leg is None or leg.transport.destination not in (0, frame.source):
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -7,7 +7,7 @@
 
 from pearloom.core.errors import Malformed
 from pearloom.iax2 import frames
-from pearloom.iax2.frames import Element, Elements, FullFrame, Mini
+from pearloom.iax2.frames import Element, Elements, FullFrame, MiniFrame
 
 NUMBERS = st.integers(1, 0x7FFF)
 OCTETS = st.integers(0, 255)
@@ -23,7 +23,7 @@
     data=st.binary(max_size=600),
     repeated=st.booleans(),
 )
-MINI = st.builds(Mini, source=NUMBERS, stamp=st.integers(0, 0xFFFF), data=st.binary(max_size=200))
+MINI = st.builds(MiniFrame, source=NUMBERS, stamp=st.integers(0, 0xFFFF), data=st.binary(max_size=200))
 
 
 @given(FULL)
@@ -40,18 +40,18 @@
 
 
 @given(MINI)
-def test_mini_frames_come_back(frame: Mini) -> None:
+def test_mini_frames_come_back(frame: MiniFrame) -> None:
     assert frames.decode(frames.encode_mini(frame)) == [frame]
 
 
 @given(st.lists(MINI, max_size=5))
-def test_meta_frames_come_back(minis: list[Mini]) -> None:
+def test_meta_frames_come_back(minis: list[MiniFrame]) -> None:
     assert frames.decode(frames.encode_meta(77, minis)) == minis
 
 
 def test_meta_entries_without_times_have_that_of_the_frame() -> None:
     data = bytes.fromhex("0000" "01" "00" "00012345" "0009" "0003" "616263")
-    assert frames.decode(data) == [Mini(9, 0x2345, b"abc")]
+    assert frames.decode(data) == [MiniFrame(9, 0x2345, b"abc")]
 
 
 def test_a_new_as_rfc_5456_lays_it_out() -> None:
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -13,7 +13,7 @@
 from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.element_mapping import answer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
-from pearloom.iax2.frames import Control, Element, Elements, FullFrame, Iax, Mini, Type, decode
+from pearloom.iax2.frames import Control, Element, Elements, FullFrame, Iax, MiniFrame, Type, decode
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.leg import Leg
 from pearloom.iax2.out_leg import OutLeg
@@ -21,7 +21,7 @@
 VOICE = Media(MediaKind.VOICE, 4, 0, b"hello")
 
 
-def parts(leg: Leg) -> list[FullFrame | Mini]:
+def parts(leg: Leg) -> list[FullFrame | MiniFrame]:
     return [one for data in leg.take() for one in decode(data)]  # type: ignore[union-attr]
 
 
@@ -51,7 +51,7 @@
                 if loses is None or loses.random() >= share:
                     self.bring(forth, frame)
 
-    def bring(self, forth: bool, frame: FullFrame | Mini) -> None:
+    def bring(self, forth: bool, frame: FullFrame | MiniFrame) -> None:
         if not forth:
             self.told += self.out.feed(frame, self.now)
         elif self.inside is not None:
