--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -33,7 +33,7 @@
 MOST_VALUE = 255  # octets of one element
 
 
-class Type(IntEnum):
+class FrameType(IntEnum):
     """Frame types (8.2)."""
 
     DTMF = 1
@@ -136,11 +136,11 @@
     @property
     def numbered(self) -> bool:
         """Does it take a place in its leg's order?"""
-        return self.type != Type.IAX or self.subclass not in UNNUMBERED
+        return self.type != FrameType.IAX or self.subclass not in UNNUMBERED
 
     def is_iax(self, subclass: Iax) -> bool:
         """Is it this IAX frame?"""
-        return self.type == Type.IAX and self.subclass == subclass
+        return self.type == FrameType.IAX and self.subclass == subclass
 
 
 @dataclass(slots=True)
--- a/pearloom/iax2/in_leg.py
+++ b/pearloom/iax2/in_leg.py
@@ -15,9 +15,9 @@
     Control,
     Element,
     Elements,
+    FrameType,
     FullFrame,
     Iax,
-    Type,
     decode_elements,
 )
 from pearloom.iax2.leg import Leg
@@ -49,7 +49,7 @@
                 (Element.USERNAME, self._elements.get(Element.USERNAME) or b""),
             ]
         )
-        self.transport.send(Type.IAX, Iax.AUTHREQ, wants.encode(), now_ms)
+        self.transport.send(FrameType.IAX, Iax.AUTHREQ, wants.encode(), now_ms)
         return []
 
     def _offer(self) -> list[Event]:
@@ -76,18 +76,18 @@
             return
         self.answered = True
         self.accept(codec, now_ms)
-        self.transport.send(Type.CONTROL, Control.ANSWER, Elements(elements).encode(), now_ms)
+        self.transport.send(FrameType.CONTROL, Control.ANSWER, Elements(elements).encode(), now_ms)
 
     def accept(self, codec: int, now_ms: float) -> None:
         """The set-up is being worked on."""
         if not self.accepted and not self.closing and not self.over:
             self.accepted = True
             told = Elements([(Element.FORMAT, codec.to_bytes(4, "big"))])
-            self.transport.send(Type.IAX, Iax.ACCEPT, told.encode(), now_ms)
+            self.transport.send(FrameType.IAX, Iax.ACCEPT, told.encode(), now_ms)
 
     def ring(self, now_ms: float) -> None:
         """The set-up has come further."""
-        self.transport.send(Type.CONTROL, Control.RINGING, b"", now_ms)
+        self.transport.send(FrameType.CONTROL, Control.RINGING, b"", now_ms)
 
     def reject(self, cause: int, why: str, stay_away_ms: float, now_ms: float) -> None:
         """Turn the set-up away; the caller may come back after that time, if it is above 0."""
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -22,17 +22,17 @@
     UNNUMBERED,
     Element,
     Elements,
+    FrameType,
     FullFrame,
     Iax,
     MiniFrame,
-    Type,
     decode_elements,
     encode_mini,
 )
 from pearloom.iax2.media_timestamps import Speech
 from pearloom.iax2.transport import Transport, Verdict
 
-_IAX, _ACK = int(Type.IAX), int(Iax.ACK)
+_IAX, _ACK = int(FrameType.IAX), int(Iax.ACK)
 LINGER_MS = 4000.0  # at most for the acknowledgement of a HANGUP
 
 
@@ -64,18 +64,18 @@
     # --- what both may say -------------------------------------------------------------------------------
     def ping(self, now_ms: float) -> None:
         """Ask whether the peer still knows this leg (6.7.2)."""
-        self.transport.send(Type.IAX, Iax.PING, b"", now_ms)
+        self.transport.send(FrameType.IAX, Iax.PING, b"", now_ms)
 
     def say(self, media: Media, now_ms: float) -> None:
         """Pass a piece of the call on; what the peer is too far behind for is dropped, as voice may be."""
         if self.closing or self.over:
             return
         if media.kind is MediaKind.DIGIT:
-            self.transport.send(Type.DTMF, media.payload[0], b"", now_ms)
+            self.transport.send(FrameType.DTMF, media.payload[0], b"", now_ms)
             return
         stamp, whole = self._speech.place(media, int(now_ms - self.transport.began_ms))
         if whole:
-            self.transport.send(Type.VOICE, media.codec, media.payload, now_ms, stamp=stamp)
+            self.transport.send(FrameType.VOICE, media.codec, media.payload, now_ms, stamp=stamp)
         else:
             self.transport.out.append(encode_mini(MiniFrame(self.source, stamp, media.payload)))
 
@@ -88,7 +88,7 @@
             return
         self.closing_since = now_ms
         self.transport.wind_up(now_ms)
-        self.transport.send(Type.IAX, kind, Elements(elements).encode(), now_ms, steady=True)
+        self.transport.send(FrameType.IAX, kind, Elements(elements).encode(), now_ms, steady=True)
 
     # --- what comes --------------------------------------------------------------------------------------
     def feed(self, frame: FullFrame | MiniFrame, now_ms: float) -> list[Event]:
@@ -154,30 +154,30 @@
         self.transport.acknowledge(frame.stamp)
         if iax:
             self._iax(frame, now_ms)
-        elif frame.type == Type.CONTROL:
+        elif frame.type == FrameType.CONTROL:
             self._control(frame, now_ms)
-        elif frame.type == Type.VOICE and not self.closing:
+        elif frame.type == FrameType.VOICE and not self.closing:
             self._events.append(Heard(self._speech.full_in(frame)))
-        elif frame.type == Type.DTMF and not self.closing and frame.subclass < 128:
+        elif frame.type == FrameType.DTMF and not self.closing and frame.subclass < 128:
             self._events.append(Heard(Media(MediaKind.DIGIT, 0, frame.stamp, bytes((frame.subclass,)))))
 
     def _iax(self, frame: FullFrame, now_ms: float) -> None:
         match frame.subclass:
             case Iax.PING | Iax.POKE:
-                self.transport.send(Type.IAX, Iax.PONG, b"", now_ms, stamp=frame.stamp)
+                self.transport.send(FrameType.IAX, Iax.PONG, b"", now_ms, stamp=frame.stamp)
             case Iax.LAGRQ:
-                self.transport.send(Type.IAX, Iax.LAGRP, b"", now_ms, stamp=frame.stamp)
+                self.transport.send(FrameType.IAX, Iax.LAGRP, b"", now_ms, stamp=frame.stamp)
             case Iax.PONG | Iax.LAGRP | Iax.UNSUPPORT | Iax.TXREJ:
                 pass
             case Iax.HANGUP | Iax.REJECT:
                 self._peer_ended(frame)
             case Iax.TXREQ:
                 # Guards against a peer that would take this leg out of the path of its own signalling.
-                self.transport.send(Type.IAX, Iax.TXREJ, b"", now_ms)
+                self.transport.send(FrameType.IAX, Iax.TXREJ, b"", now_ms)
             case _:
                 if not self._own(frame, now_ms):
                     unknown = Elements([(Element.IAX_UNKNOWN, bytes((frame.subclass & 0xFF,)))])
-                    self.transport.send(Type.IAX, Iax.UNSUPPORT, unknown.encode(), now_ms)
+                    self.transport.send(FrameType.IAX, Iax.UNSUPPORT, unknown.encode(), now_ms)
 
     def _peer_ended(self, frame: FullFrame, early: bool = False) -> None:
         # One that can't be read still ends the leg: as a failure that says nothing more.
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -9,7 +9,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.iax2.call_numbers import CallNumbers
 from pearloom.iax2.events import Event
-from pearloom.iax2.frames import FullFrame, Iax, Type, encode_full
+from pearloom.iax2.frames import FrameType, FullFrame, Iax, encode_full
 from pearloom.iax2.leg import Leg
 
 NO_LEG = 0x7FFF  # this side's call number in what is answered without a leg
@@ -107,5 +107,7 @@
 def answer_without_leg(frame: FullFrame, kind: Iax, elements: bytes = b"") -> bytes:
     """A frame in answer to one that belongs to no leg, from the number that stands for none."""
     return encode_full(
-        FullFrame(NO_LEG, frame.source, frame.stamp, 0, (frame.oseq + 1) & 0xFF, Type.IAX, kind, elements)
+        FullFrame(
+            NO_LEG, frame.source, frame.stamp, 0, (frame.oseq + 1) & 0xFF, FrameType.IAX, kind, elements
+        )
     )
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -20,9 +20,9 @@
     Control,
     Element,
     Elements,
+    FrameType,
     FullFrame,
     Iax,
-    Type,
     decode_elements,
     join_description,
 )
@@ -92,7 +92,7 @@
             self._fail(End.WITHDRAWN, now_ms, "not wanted any more")
             return
         self.stage = stage
-        self.transport.send(Type.IAX, kind, data, now_ms, self._may_send)
+        self.transport.send(FrameType.IAX, kind, data, now_ms, self._may_send)
 
     def _may_send(self) -> bool:
         return may_send(self.stage, self._wanted(), not self.closing)
--- a/pearloom/iax2/transport.py
+++ b/pearloom/iax2/transport.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from pearloom.iax2.frames import FullFrame, Iax, Type, encode_full, mark_repeated
+from pearloom.iax2.frames import FrameType, FullFrame, Iax, encode_full, mark_repeated
 
 FIRST_RTT_MS = 60.0  # taken until the first sample: two regions and some work
 LEAST_RETRY_MS = 50.0
@@ -112,7 +112,7 @@
         """Send a frame outside the order: ACK and INVAL take the time of what they answer."""
         self.out.append(
             encode_full(
-                FullFrame(self.source, self.destination, stamp, self._oseq, self._iseq, Type.IAX, kind)
+                FullFrame(self.source, self.destination, stamp, self._oseq, self._iseq, FrameType.IAX, kind)
             )
         )
 
@@ -138,7 +138,9 @@
                 sent.may_repeat = None
                 stamp = int.from_bytes(sent.data[4:8], "big")
                 sent.data = encode_full(
-                    FullFrame(self.source, self.destination, stamp, sent.oseq, self._iseq, Type.IAX, Iax.PING)
+                    FullFrame(
+                        self.source, self.destination, stamp, sent.oseq, self._iseq, FrameType.IAX, Iax.PING
+                    )
                 )
 
     @property
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -20,9 +20,9 @@
 from pearloom.iax2.frames import (
     Element,
     Elements,
+    FrameType,
     FullFrame,
     Iax,
-    Type,
     decode,
     decode_elements,
     encode_full,
@@ -42,7 +42,7 @@
     def new(self, token: bytes, *more: tuple[int, bytes], number: int = 7) -> bytes:
         elements = [(Element.VERSION, b"\x00\x02"), (Element.CALLED_NUMBER, b"123"),
                     (Element.CALLED_CONTEXT, b"open-form"), *more, (Element.CALLTOKEN, token)]  # fmt: skip
-        return encode_full(FullFrame(number, 0, 1, 0, 0, Type.IAX, Iax.NEW, Elements(elements).encode()))
+        return encode_full(FullFrame(number, 0, 1, 0, 0, FrameType.IAX, Iax.NEW, Elements(elements).encode()))
 
     def token(self) -> bytes:
         self.sock.send(self.new(b""))
@@ -50,7 +50,7 @@
         assert isinstance(elements, Elements)
         return elements.get(Element.CALLTOKEN) or b""
 
-    def hear(self, kind: int, of: Type = Type.IAX) -> FullFrame:
+    def hear(self, kind: int, of: FrameType = FrameType.IAX) -> FullFrame:
         while True:
             frames = decode(self.sock.recv(65536))
             assert isinstance(frames, list) and isinstance(frames[0], FullFrame)
@@ -66,10 +66,10 @@
         plain.sock.send(new)
         gevent.sleep(0.1)
         plain.sock.send(new)
-        answer = plain.hear(4, Type.CONTROL)
+        answer = plain.hear(4, FrameType.CONTROL)
         gevent.sleep(0.2)
         assert count(stage, What.SET_UP) == 1
-        hang_up = FullFrame(7, answer.source, 9, 1, 2, Type.IAX, Iax.HANGUP)
+        hang_up = FullFrame(7, answer.source, 9, 1, 2, FrameType.IAX, Iax.HANGUP)
         plain.sock.send(encode_full(hang_up))
         gevent.sleep(0.2)
         for _ in range(3):
@@ -148,7 +148,7 @@
     whole = caller._datagram
 
     def some(data: bytes) -> None:
-        if len(data) > 11 and data[10] == Type.IAX and data[11] == Iax.CALLTOKEN:
+        if len(data) > 11 and data[10] == FrameType.IAX and data[11] == Iax.CALLTOKEN:
             whole(data)
 
     return some
@@ -183,7 +183,7 @@
 
 def test_a_flood_from_forged_sources_leaves_honest_callers_their_service() -> None:
     """20,000 a second: NEWs from 200 addresses that never hear an answer, cut ones, and noise."""
-    new = encode_full(FullFrame(7, 0, 1, 0, 0, Type.IAX, Iax.NEW, Elements([
+    new = encode_full(FullFrame(7, 0, 1, 0, 0, FrameType.IAX, Iax.NEW, Elements([
         (Element.VERSION, b"\x00\x02"), (Element.CALLED_NUMBER, b"123"), (Element.CALLTOKEN, b""),
     ]).encode()))  # fmt: skip
     with played(Stage(12, sip=(SHORT, SHORT), iax2=(SHORT, SHORT)), binary=1, iax2=2) as stage:
@@ -218,10 +218,10 @@
         gevent.sleep(0.3)
         (leg,) = stage.iax2[0]._legs.values()
         made = Elements(split_description(b"forged")).encode()
-        forged = FullFrame(leg.source, leg.transport.destination, 9, 0, 1, Type.CONTROL, 4, made)
+        forged = FullFrame(leg.source, leg.transport.destination, 9, 0, 1, FrameType.CONTROL, 4, made)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.sendto(encode_full(forged), leg.peer[0])
-        wrong = FullFrame(leg.source + 1, leg.transport.destination, 9, 0, 1, Type.CONTROL, 4, made)
+        wrong = FullFrame(leg.source + 1, leg.transport.destination, 9, 0, 1, FrameType.CONTROL, 4, made)
         stage.iax2[0]._sock.sendto(encode_full(wrong), leg.peer[0])
         settled(stage)
         assert count(stage, What.STANDS) == 0
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -11,8 +11,8 @@
 from pearloom.fakes.script import Faults, Manner
 from pearloom.fakes.stage import Stage
 from pearloom.iax2.frames import (
+    FrameType,
     Iax,
-    Type,
 )
 from tests.iax2.scenes import LONG, SHORT, count, first_choice, played, settled
 
@@ -124,7 +124,7 @@
         whole = server._datagram
 
         def late(data: bytes, source: tuple[str, int]) -> None:
-            if len(data) > 11 and data[10] == Type.IAX and data[11] == Iax.HANGUP:
+            if len(data) > 11 and data[10] == FrameType.IAX and data[11] == Iax.HANGUP:
                 since = first.setdefault((source, data[:2]), time.time())
                 if time.time() - since < 0.45:
                     return
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -13,7 +13,7 @@
 from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.element_mapping import answer_elements
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
-from pearloom.iax2.frames import Control, Element, Elements, FullFrame, Iax, MiniFrame, Type, decode
+from pearloom.iax2.frames import Control, Element, Elements, FrameType, FullFrame, Iax, MiniFrame, decode
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.leg import Leg
 from pearloom.iax2.out_leg import OutLeg
@@ -59,7 +59,7 @@
         elif isinstance(frame, FullFrame) and frame.is_iax(Iax.NEW):
             if self.token and frame.data.endswith(bytes((Element.CALLTOKEN, 0))):
                 asked = Elements([(Element.CALLTOKEN, b"tok")]).encode()
-                reply = FullFrame(1, frame.source, frame.stamp, 0, 1, Type.IAX, Iax.CALLTOKEN, asked)
+                reply = FullFrame(1, frame.source, frame.stamp, 0, 1, FrameType.IAX, Iax.CALLTOKEN, asked)
                 self.told += self.out.feed(reply, self.now)
                 return
             self.inside = InLeg(9, frame, Elements(), self.secret, "chal", self.now)
@@ -181,7 +181,9 @@
     pair = Pair()
     pair.carry()
     inside = pair.answer()
-    inside.transport.send(Type.CONTROL, Control.ANSWER, Elements(answer_elements(b"other")).encode(), 5.0)
+    inside.transport.send(
+        FrameType.CONTROL, Control.ANSWER, Elements(answer_elements(b"other")).encode(), 5.0
+    )
     pair.carry()
     assert pair.told == [Answered(b"there", "")]
 
@@ -225,13 +227,13 @@
     assert pair.out.stage is Stage.HEARD and pair.inside is not None
     again = Elements([(Element.CHALLENGE, b"x"), (Element.AUTHMETHODS, b"\x00\x02")])
     pair.wanted = False  # its server drains, so that no second answer may leave
-    pair.inside.transport.send(Type.IAX, Iax.AUTHREQ, again.encode(), 5.0)
+    pair.inside.transport.send(FrameType.IAX, Iax.AUTHREQ, again.encode(), 5.0)
     pair.carry()
     assert pair.told == [], "it may be at work since the first answer"
 
 
 def test_inval_ends_a_standing_leg_and_puts_a_set_up_in_doubt() -> None:
-    inval = FullFrame(9, 5, 0, 0, 0, Type.IAX, Iax.INVAL)
+    inval = FullFrame(9, 5, 0, 0, 0, FrameType.IAX, Iax.INVAL)
     pair = Pair()
     pair.carry()
     assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, End.UNKNOWN_THERE), Over()]
@@ -256,9 +258,9 @@
     pair = Pair()
     pair.carry()
     assert pair.inside is not None
-    pair.inside.transport.send(Type.IAX, Iax.TXREQ, b"", 1.0)
-    pair.inside.transport.send(Type.IAX, 99, b"", 1.0)
-    pair.inside.transport.send(Type.IAX, Iax.LAGRQ, b"", 1.0)
+    pair.inside.transport.send(FrameType.IAX, Iax.TXREQ, b"", 1.0)
+    pair.inside.transport.send(FrameType.IAX, 99, b"", 1.0)
+    pair.inside.transport.send(FrameType.IAX, Iax.LAGRQ, b"", 1.0)
     for frame in parts(pair.inside):
         pair.bring(False, frame)
     said = [one.subclass for one in parts(pair.out) if isinstance(one, FullFrame)]
--- a/tests/iax2/test_transport.py
+++ b/tests/iax2/test_transport.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pearloom.iax2.frames import FullFrame, Iax, Type, decode
+from pearloom.iax2.frames import FrameType, FullFrame, Iax, decode
 from pearloom.iax2.transport import MOST_TRIES, MOST_UNCONFIRMED, Transport, Verdict
 
 
@@ -18,7 +18,7 @@
 
 
 def text(transport: Transport, word: bytes, now: float) -> bool:
-    return transport.send(Type.TEXT, 0, word, now)
+    return transport.send(FrameType.TEXT, 0, word, now)
 
 
 def test_frames_are_repeated_with_growing_gaps_until_confirmed() -> None:
@@ -70,7 +70,7 @@
 def test_a_repeat_that_became_unwanted_does_not_leave() -> None:
     one = Transport(1, 0.0, 2)
     wanted = [True]
-    one.send(Type.IAX, Iax.NEW, b"", 0.0, lambda: wanted[0])
+    one.send(FrameType.IAX, Iax.NEW, b"", 0.0, lambda: wanted[0])
     frames(one)
     one.tick(one.due_ms())
     assert len(frames(one)) == 1
@@ -78,7 +78,7 @@
     one.tick(one.due_ms())
     assert frames(one) == [] and one.stopped
     one.wind_up(5000.0)
-    one.send(Type.IAX, Iax.HANGUP, b"", 5000.0)
+    one.send(FrameType.IAX, Iax.HANGUP, b"", 5000.0)
     one.tick(9000.0)
     # The place of the NEW is taken by a PING: the order has no hole, and no work is started.
     assert {(frame.oseq, frame.subclass) for frame in frames(one)} == {(0, Iax.PING), (1, Iax.HANGUP)}
@@ -88,9 +88,9 @@
     one = Transport(1, 0.0, 2)
     for _ in range(3):
         text(one, b"", 0.0)
-    one.heard(FullFrame(2, 1, 0, 0, 200, Type.IAX, Iax.ACK), 1.0)
+    one.heard(FullFrame(2, 1, 0, 0, 200, FrameType.IAX, Iax.ACK), 1.0)
     assert one.unconfirmed == 3
-    one.heard(FullFrame(2, 1, 0, 0, 2, Type.IAX, Iax.ACK), 1.0)
+    one.heard(FullFrame(2, 1, 0, 0, 2, FrameType.IAX, Iax.ACK), 1.0)
     assert one.unconfirmed == 1
 
 
