--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -124,7 +124,7 @@
         if isinstance(elements, Malformed):
             return
         token = elements.get(Element.CALLTOKEN) or b""
-        key = (token, frame.stamp)
+        key = (token, frame.timestamp)
         if leg is not None and leg.key == key:
             self._flush(leg, leg.feed(frame, self._now()))
             return
--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -125,7 +125,7 @@
 
     source: int
     destination: int
-    stamp: int  # ms since the leg began, modulo 2**32
+    timestamp: int  # ms since the leg began, modulo 2**32
     oseq: int
     iseq: int
     type: int
@@ -157,7 +157,7 @@
     head = _FULL.pack(
         _HIGH | frame.source,
         (_HIGH if frame.repeated else 0) | frame.destination,
-        frame.stamp & 0xFFFFFFFF,
+        frame.timestamp & 0xFFFFFFFF,
         frame.oseq,
         frame.iseq,
         frame.type,
--- a/pearloom/iax2/in_leg.py
+++ b/pearloom/iax2/in_leg.py
@@ -40,7 +40,7 @@
         """Acknowledge the NEW: offer the set-up, or ask for the answer to a challenge."""
         self.transport.heard(self._new, now_ms)
         if not self._secret:
-            self.transport.acknowledge(self._new.stamp)
+            self.transport.acknowledge(self._new.timestamp)
             return self._offer()
         wants = Elements(
             [
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -151,7 +151,7 @@
         if iax in UNNUMBERED:
             self._unnumbered(frame, now_ms)
             return
-        self.transport.acknowledge(frame.stamp)
+        self.transport.acknowledge(frame.timestamp)
         if iax:
             self._iax(frame, now_ms)
         elif frame.type == FrameType.CONTROL:
@@ -159,14 +159,14 @@
         elif frame.type == FrameType.VOICE and not self.closing:
             self._events.append(Heard(self._speech.full_in(frame)))
         elif frame.type == FrameType.DTMF and not self.closing and frame.subclass < 128:
-            self._events.append(Heard(Media(MediaKind.DIGIT, 0, frame.stamp, bytes((frame.subclass,)))))
+            self._events.append(Heard(Media(MediaKind.DIGIT, 0, frame.timestamp, bytes((frame.subclass,)))))
 
     def _iax(self, frame: FullFrame, now_ms: float) -> None:
         match frame.subclass:
             case Iax.PING | Iax.POKE:
-                self.transport.send(FrameType.IAX, Iax.PONG, b"", now_ms, stamp=frame.stamp)
+                self.transport.send(FrameType.IAX, Iax.PONG, b"", now_ms, stamp=frame.timestamp)
             case Iax.LAGRQ:
-                self.transport.send(FrameType.IAX, Iax.LAGRP, b"", now_ms, stamp=frame.stamp)
+                self.transport.send(FrameType.IAX, Iax.LAGRP, b"", now_ms, stamp=frame.timestamp)
             case Iax.PONG | Iax.LAGRP | Iax.UNSUPPORT | Iax.TXREJ:
                 pass
             case Iax.HANGUP | Iax.REJECT:
@@ -185,7 +185,7 @@
         if isinstance(elements, Malformed):
             elements = Elements()
         cause = elements.number(Element.CAUSECODE, 1)
-        self.transport.acknowledge(frame.stamp)
+        self.transport.acknowledge(frame.timestamp)
         if not self.closing:
             self._hung_up(CAUSE_TEMPORARY_FAILURE if cause is None else cause, elements, early)
         self._end()
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -108,6 +108,6 @@
     """A frame in answer to one that belongs to no leg, from the number that stands for none."""
     return encode_full(
         FullFrame(
-            NO_LEG, frame.source, frame.stamp, 0, (frame.oseq + 1) & 0xFF, FrameType.IAX, kind, elements
+            NO_LEG, frame.source, frame.timestamp, 0, (frame.oseq + 1) & 0xFF, FrameType.IAX, kind, elements
         )
     )
--- a/pearloom/iax2/media_timestamps.py
+++ b/pearloom/iax2/media_timestamps.py
@@ -23,8 +23,8 @@
 
     def full_in(self, frame: FullFrame) -> Media:
         """A full frame of voice came."""
-        self._codec_in, self._stamp_in = frame.subclass, frame.stamp
-        return Media(MediaKind.VOICE, frame.subclass, frame.stamp, frame.data)
+        self._codec_in, self._stamp_in = frame.subclass, frame.timestamp
+        return Media(MediaKind.VOICE, frame.subclass, frame.timestamp, frame.data)
 
     def mini_in(self, frame: MiniFrame) -> Media | None:
         """Guards against voice whose codec nobody has told, and against a leap where 16 bits wrap."""
--- a/pearloom/iax2/transport.py
+++ b/pearloom/iax2/transport.py
@@ -163,11 +163,11 @@
             return Verdict.TAKE
         if ahead >= 128:
             # Guards against a lost ACK: the peer repeats until it has one.
-            self.acknowledge(frame.stamp)
+            self.acknowledge(frame.timestamp)
             return Verdict.AGAIN
         if self._vnak_of != self._iseq:
             self._vnak_of = self._iseq  # asked for once; the peer's own repeats do the rest
-            self.reply(Iax.VNAK, frame.stamp)
+            self.reply(Iax.VNAK, frame.timestamp)
         return Verdict.EARLY
 
     def _confirm(self, frame: FullFrame, now_ms: float) -> None:
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -15,7 +15,7 @@
     FullFrame,
     source=NUMBERS,
     destination=st.integers(0, 0x7FFF),
-    stamp=st.integers(0, 0xFFFFFFFF),
+    timestamp=st.integers(0, 0xFFFFFFFF),
     oseq=OCTETS,
     iseq=OCTETS,
     type=OCTETS,
@@ -34,7 +34,7 @@
 @given(FULL, OCTETS)
 def test_a_repeat_differs_in_its_mark_and_acknowledgement_alone(frame: FullFrame, iseq: int) -> None:
     again = frames.mark_repeated(frames.encode_full(frame), iseq)
-    wanted = FullFrame(frame.source, frame.destination, frame.stamp, frame.oseq, iseq, frame.type,
+    wanted = FullFrame(frame.source, frame.destination, frame.timestamp, frame.oseq, iseq, frame.type,
                   frame.subclass, frame.data, True)  # fmt: skip
     assert frames.decode(again) == [wanted]
 
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -59,7 +59,7 @@
         elif isinstance(frame, FullFrame) and frame.is_iax(Iax.NEW):
             if self.token and frame.data.endswith(bytes((Element.CALLTOKEN, 0))):
                 asked = Elements([(Element.CALLTOKEN, b"tok")]).encode()
-                reply = FullFrame(1, frame.source, frame.stamp, 0, 1, FrameType.IAX, Iax.CALLTOKEN, asked)
+                reply = FullFrame(1, frame.source, frame.timestamp, 0, 1, FrameType.IAX, Iax.CALLTOKEN, asked)
                 self.told += self.out.feed(reply, self.now)
                 return
             self.inside = InLeg(9, frame, Elements(), self.secret, "chal", self.now)
--- a/tests/iax2/test_transport.py
+++ b/tests/iax2/test_transport.py
@@ -38,7 +38,7 @@
     assert {frame.oseq for frame in sent} == {0}
     for frame in sent:
         other.heard(frame, now)
-    other.reply(Iax.ACK, sent[0].stamp)
+    other.reply(Iax.ACK, sent[0].timestamp)
     for frame in frames(other):
         one.heard(frame, now)
     assert one.unconfirmed == 0 and one.due_ms() == float("inf")
@@ -117,7 +117,7 @@
                     continue
                 if receiver.heard(frame, now) is Verdict.TAKE and frame.numbered:
                     got.append(frame.data)
-                    receiver.reply(Iax.ACK, frame.stamp)
+                    receiver.reply(Iax.ACK, frame.timestamp)
             sender.tick(now)
         assert not one.lost
     assert got == words
@@ -148,7 +148,7 @@
         for _, receiver, frame in due:
             if receiver.heard(frame, now) is Verdict.TAKE and frame.numbered:
                 got.append(frame.data)
-                receiver.reply(Iax.ACK, frame.stamp)
+                receiver.reply(Iax.ACK, frame.timestamp)
         assert now < 60_000, "stuck"
     assert got == [str(number).encode() for number in range(len(got))]
     assert one.lost or len(got) == count
