--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -148,7 +148,7 @@
     """Voice in the codec of the last full voice frame; the low 16 bits of its time."""
 
     source: int
-    stamp: int
+    timestamp: int
     data: bytes
 
 
@@ -173,13 +173,13 @@
 
 def encode_mini(frame: MiniFrame) -> bytes:
     """The frame's bytes."""
-    return _MINI.pack(frame.source, frame.stamp & 0xFFFF) + frame.data
+    return _MINI.pack(frame.source, frame.timestamp & 0xFFFF) + frame.data
 
 
 def encode_meta(stamp: int, minis: Iterable[MiniFrame]) -> bytes:
     """Several mini frames of one peer in one datagram, each with its own time (8.1.3.2)."""
     entries = b"".join(
-        _PAIR.pack(len(mini.data), mini.source) + struct.pack(">H", mini.stamp & 0xFFFF) + mini.data
+        _PAIR.pack(len(mini.data), mini.source) + struct.pack(">H", mini.timestamp & 0xFFFF) + mini.data
         for mini in minis
     )
     return _META.pack(0, _TRUNK, _STAMPED, stamp & 0xFFFFFFFF) + entries
--- a/pearloom/iax2/media_timestamps.py
+++ b/pearloom/iax2/media_timestamps.py
@@ -30,7 +30,7 @@
         """Guards against voice whose codec nobody has told, and against a leap where 16 bits wrap."""
         if not self._codec_in:
             return None
-        step = (frame.stamp - self._stamp_in) % MINI_SPAN
+        step = (frame.timestamp - self._stamp_in) % MINI_SPAN
         if step >= MINI_SPAN // 2:
             step -= MINI_SPAN  # late, not early by a minute
         stamp = max(self._stamp_in + step, 0)
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -23,7 +23,7 @@
     data=st.binary(max_size=600),
     repeated=st.booleans(),
 )
-MINI = st.builds(MiniFrame, source=NUMBERS, stamp=st.integers(0, 0xFFFF), data=st.binary(max_size=200))
+MINI = st.builds(MiniFrame, source=NUMBERS, timestamp=st.integers(0, 0xFFFF), data=st.binary(max_size=200))
 
 
 @given(FULL)
