--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -131,7 +131,7 @@
     type: int
     subclass: int
     data: bytes = b""
-    repeated: bool = False
+    is_retransmitted: bool = False
 
     @property
     def numbered(self) -> bool:
@@ -156,7 +156,7 @@
     """The frame's bytes."""
     head = _FULL.pack(
         _HIGH | frame.source,
-        (_HIGH if frame.repeated else 0) | frame.destination,
+        (_HIGH if frame.is_retransmitted else 0) | frame.destination,
         frame.timestamp & 0xFFFFFFFF,
         frame.oseq,
         frame.iseq,
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -21,7 +21,7 @@
     type=OCTETS,
     subclass=st.integers(0, 127) | st.integers(7, 63).map(lambda power: 1 << power),
     data=st.binary(max_size=600),
-    repeated=st.booleans(),
+    is_retransmitted=st.booleans(),
 )
 MINI = st.builds(MiniFrame, source=NUMBERS, timestamp=st.integers(0, 0xFFFF), data=st.binary(max_size=200))
 
--- a/tests/iax2/test_transport.py
+++ b/tests/iax2/test_transport.py
@@ -34,7 +34,7 @@
     gaps = [later - sooner for sooner, later in pairwise(times)]
     assert gaps == sorted(gaps) and gaps[-1] > 2 * gaps[0]
     sent = frames(one)
-    assert [frame.repeated for frame in sent] == [False] + [True] * (MOST_TRIES - 1)
+    assert [frame.is_retransmitted for frame in sent] == [False] + [True] * (MOST_TRIES - 1)
     assert {frame.oseq for frame in sent} == {0}
     for frame in sent:
         other.heard(frame, now)
