--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -134,7 +134,7 @@
     is_retransmitted: bool = False
 
     @property
-    def numbered(self) -> bool:
+    def is_numbered(self) -> bool:
         """Does it take a place in its leg's order?"""
         return self.type != FrameType.IAX or self.subclass not in UNNUMBERED
 
--- a/pearloom/iax2/transport.py
+++ b/pearloom/iax2/transport.py
@@ -152,7 +152,7 @@
     def heard(self, frame: FullFrame, now_ms: float) -> Verdict:
         """Take a full frame's numbers; `frame.iseq` confirms what the peer has."""
         self._confirm(frame, now_ms)
-        if not frame.numbered:
+        if not frame.is_numbered:
             if frame.subclass == Iax.VNAK:
                 self._repeat_from(frame.iseq, now_ms)
             return Verdict.TAKE
--- a/tests/iax2/test_transport.py
+++ b/tests/iax2/test_transport.py
@@ -115,7 +115,7 @@
             for frame in frames(sender):
                 if random.random() < 0.05:
                     continue
-                if receiver.heard(frame, now) is Verdict.TAKE and frame.numbered:
+                if receiver.heard(frame, now) is Verdict.TAKE and frame.is_numbered:
                     got.append(frame.data)
                     receiver.reply(Iax.ACK, frame.timestamp)
             sender.tick(now)
@@ -146,7 +146,7 @@
         due = [item for item in under_way if item[0] <= now]
         under_way = [item for item in under_way if item[0] > now]
         for _, receiver, frame in due:
-            if receiver.heard(frame, now) is Verdict.TAKE and frame.numbered:
+            if receiver.heard(frame, now) is Verdict.TAKE and frame.is_numbered:
                 got.append(frame.data)
                 receiver.reply(Iax.ACK, frame.timestamp)
         assert now < 60_000, "stuck"
