--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -21,7 +21,7 @@
 from pearloom.fakes.script import Faults, Path
 from pearloom.iax2.call_numbers import CallNumbers
 from pearloom.iax2.element_mapping import ULAW, call_elements
-from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Rejected
+from pearloom.iax2.events import Answered, Event, Failed, Gone, HungUp, MediaReceived, Over, Rejected
 from pearloom.iax2.frames import Elements, FullFrame, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
 from pearloom.iax2.out_leg import OutLeg
@@ -232,7 +232,7 @@
             case HungUp() | Gone():
                 self._journal.add(What.RELEASED, self.name, leg.call)
                 leg.stands = False
-            case Heard():
+            case MediaReceived():
                 self.spoken += 1
             case Over():
                 self._legs.pop(leg.source, None)
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -17,7 +17,7 @@
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
 from pearloom.iax2 import call_tokens
 from pearloom.iax2.element_mapping import ULAW, answer_elements
-from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
+from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Offered, Over
 from pearloom.iax2.frames import (
     Element,
     Elements,
@@ -169,7 +169,7 @@
             case Gone(_) if leg.call:
                 self._journal.add(What.ENDED if leg.stands else What.DROPPED, self.server, leg.call)
                 leg.stands = False
-            case Heard(media):
+            case MediaReceived(media):
                 self.spoken += 1
                 leg.say(media, self._now())  # an echo
             case Over():
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MediaReceived:
     """Something of the standing call to be passed on."""
 
     media: Media
@@ -76,4 +76,4 @@
     """Nothing more is to come or to be sent; the call number may rest."""
 
 
-Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | Offered | Heard | Over
+Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | Offered | MediaReceived | Over
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -14,8 +14,8 @@
 from pearloom.iax2.events import (
     Event,
     Gone,
-    Heard,
     HungUp,
+    MediaReceived,
     Over,
 )
 from pearloom.iax2.frames import (
@@ -98,7 +98,7 @@
         if isinstance(frame, MiniFrame):
             media = None if self.closing else self._speech.mini_in(frame)
             if media is not None:
-                self._events.append(Heard(media))
+                self._events.append(MediaReceived(media))
         else:
             self._full(frame, now_ms)
         self._settle(now_ms)
@@ -157,9 +157,11 @@
         elif frame.type == FrameType.CONTROL:
             self._control(frame, now_ms)
         elif frame.type == FrameType.VOICE and not self.closing:
-            self._events.append(Heard(self._speech.full_in(frame)))
+            self._events.append(MediaReceived(self._speech.full_in(frame)))
         elif frame.type == FrameType.DTMF and not self.closing and frame.subclass < 128:
-            self._events.append(Heard(Media(MediaKind.DIGIT, 0, frame.timestamp, bytes((frame.subclass,)))))
+            self._events.append(
+                MediaReceived(Media(MediaKind.DIGIT, 0, frame.timestamp, bytes((frame.subclass,))))
+            )
 
     def _iax(self, frame: FullFrame, now_ms: float) -> None:
         match frame.subclass:
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -23,7 +23,7 @@
     CAUSE_TEMPORARY_FAILURE,
 )
 from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
-from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
+from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Offered, Over
 from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
@@ -235,7 +235,7 @@
             case Gone(reason):
                 log_event(logging.INFO, "iax2_caller_gone", reason=reason)
                 self._left(leg, CAUSE_TEMPORARY_FAILURE)
-            case Heard(media) if leg.offer is not None:
+            case MediaReceived(media) if leg.offer is not None:
                 self._counters.add("media_from_callers")
                 self._exchange.relay_caller_media(leg.offer.call, media)
             case Over():
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -12,7 +12,17 @@
 from pearloom.core.logs import log_event
 from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
 from pearloom.iax2.element_mapping import offer_elements
-from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Progressed, Rejected
+from pearloom.iax2.events import (
+    Answered,
+    Event,
+    Failed,
+    Gone,
+    HungUp,
+    MediaReceived,
+    Over,
+    Progressed,
+    Rejected,
+)
 from pearloom.iax2.frames import Elements, FullFrame, Iax, MiniFrame, decode
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
@@ -276,7 +286,7 @@
                 self._by_call.pop(call, None)
                 log_event(logging.INFO, "iax2_leg_gone", server=self.name, call=call, reason=reason)
                 self._exchange.handle_server_release(self.name, call, CAUSE_CUT)
-            case Heard(media):
+            case MediaReceived(media):
                 self._side.counters.add("media_from_servers")
                 self._exchange.relay_server_media(self.name, call, media)
             case Over():
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -12,7 +12,7 @@
 from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.element_mapping import answer_elements
-from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Offered, Over, Rejected
+from pearloom.iax2.events import Answered, Event, Failed, Gone, HungUp, MediaReceived, Offered, Over, Rejected
 from pearloom.iax2.frames import Control, Element, Elements, FrameType, FullFrame, Iax, MiniFrame, decode
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.leg import Leg
@@ -93,7 +93,7 @@
     pair.out.say(Media(MediaKind.VOICE, 4, 20, b"again"), 40.0)
     pair.out.say(Media(MediaKind.DIGIT, 0, 0, b"5"), 50.0)
     pair.carry()
-    said = [event.media for event in pair.heard if isinstance(event, Heard)]
+    said = [event.media for event in pair.heard if isinstance(event, MediaReceived)]
     assert [(one.kind, one.payload) for one in said] == [
         (MediaKind.VOICE, b"hello"), (MediaKind.VOICE, b"again"), (MediaKind.DIGIT, b"5"),
     ]  # fmt: skip
@@ -276,7 +276,7 @@
         pair.now = float(stamp)
         pair.out.say(Media(MediaKind.VOICE, 4, stamp, b"v"), pair.now)
         pair.carry()
-    said = [event.media.timestamp_ms for event in pair.heard if isinstance(event, Heard)]
+    said = [event.media.timestamp_ms for event in pair.heard if isinstance(event, MediaReceived)]
     assert [later - sooner for sooner, later in pairwise(said)] == [200] * 19
 
 
