--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -17,7 +17,7 @@
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
 from pearloom.iax2 import call_tokens
 from pearloom.iax2.element_mapping import ULAW, answer_elements
-from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Offered, Over
+from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Over, SetUpReceived
 from pearloom.iax2.frames import (
     Element,
     Elements,
@@ -161,7 +161,7 @@
     # --- what happens ---------------------------------------------------------------------------------------
     def _event(self, leg: _ServerLeg, event: Event) -> None:
         match event:
-            case Offered(elements):
+            case SetUpReceived(elements):
                 self._offered(leg, elements)
             case HungUp(_) if leg.call:
                 self._journal.add(What.OVER if leg.stands else What.WITHDRAWN, self.server, leg.call)
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
+class SetUpReceived:
     """A set-up that may be placed: its caller has shown what was asked of it."""
 
     elements: Elements
@@ -76,4 +76,4 @@
     """Nothing more is to come or to be sent; the call number may rest."""
 
 
-Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | Offered | MediaReceived | Over
+Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | SetUpReceived | MediaReceived | Over
--- a/pearloom/iax2/in_leg.py
+++ b/pearloom/iax2/in_leg.py
@@ -8,7 +8,7 @@
 from pearloom.iax2.challenge import md5_result
 from pearloom.iax2.events import (
     Event,
-    Offered,
+    SetUpReceived,
 )
 from pearloom.iax2.frames import (
     AUTH_MD5,
@@ -54,7 +54,7 @@
 
     def _offer(self) -> list[Event]:
         self.offered = True
-        self._events.append(Offered(self._elements))
+        self._events.append(SetUpReceived(self._elements))
         return self._taken()
 
     def _own(self, frame: FullFrame, now_ms: float) -> bool:
@@ -64,7 +64,7 @@
             wanted = md5_result(self._challenge, self._secret).encode()
             if told is not None and hmac.compare_digest(told, wanted):
                 self.offered = True
-                self._events.append(Offered(self._elements))
+                self._events.append(SetUpReceived(self._elements))
             else:
                 self.reject(29, "wrong secret", 0.0, now_ms)  # Q.931: facility rejected
             return True
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -23,7 +23,7 @@
     CAUSE_TEMPORARY_FAILURE,
 )
 from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
-from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Offered, Over
+from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Over, SetUpReceived
 from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
@@ -227,7 +227,7 @@
     # --- what happens on legs -------------------------------------------------------------------------------
     def _event(self, leg: CallerLeg, event: Event) -> None:
         match event:
-            case Offered(elements):
+            case SetUpReceived(elements):
                 self._admission.settled(leg.source)
                 self._offered(leg, elements)
             case HungUp(cause):
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -12,7 +12,17 @@
 from pearloom.core.calls import Media, MediaKind
 from pearloom.iax2.attempt_endings import End, Stage
 from pearloom.iax2.element_mapping import answer_elements
-from pearloom.iax2.events import Answered, Event, Failed, Gone, HungUp, MediaReceived, Offered, Over, Rejected
+from pearloom.iax2.events import (
+    Answered,
+    Event,
+    Failed,
+    Gone,
+    HungUp,
+    MediaReceived,
+    Over,
+    Rejected,
+    SetUpReceived,
+)
 from pearloom.iax2.frames import Control, Element, Elements, FrameType, FullFrame, Iax, MiniFrame, decode
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.leg import Leg
@@ -85,7 +95,7 @@
 def test_a_call_stands_talks_and_ends(secret: str, token: bool) -> None:
     pair = Pair(secret, token=token)
     pair.carry()
-    assert kinds(pair.heard) == [Offered] and pair.out.stage in (Stage.HEARD, Stage.AUTH_SENT)
+    assert kinds(pair.heard) == [SetUpReceived] and pair.out.stage in (Stage.HEARD, Stage.AUTH_SENT)
     inside = pair.answer()
     pair.carry()
     assert pair.told == [Answered(b"there", "")]
@@ -106,7 +116,7 @@
 def test_a_wrong_secret_is_turned_away_before_any_offer() -> None:
     pair = Pair("right", known="wrong")
     pair.carry()
-    assert kinds(pair.told) == [Rejected, Over] and Offered not in kinds(pair.heard)
+    assert kinds(pair.told) == [Rejected, Over] and SetUpReceived not in kinds(pair.heard)
 
 
 def test_a_challenge_without_a_secret_never_ran() -> None:
@@ -125,7 +135,7 @@
     pair.carry()
     stage = Stage.TOKEN_ASKED if token else Stage.CHALLENGED
     assert pair.told[0] == Failed(stage, End.WITHDRAWN, "not wanted any more")
-    assert Offered not in kinds(pair.heard)
+    assert SetUpReceived not in kinds(pair.heard)
 
 
 def test_a_new_is_not_repeated_for_a_server_that_drained_and_its_end_is_in_doubt() -> None:
@@ -146,7 +156,7 @@
     assert pair.out.stage is Stage.HEARD and pair.out.due_ms() == float("inf"), "nothing is repeated"
     assert pair.out.fail(End.TIMED_OUT, 1000.0) == [Failed(Stage.HEARD, End.TIMED_OUT)]
     pair.carry()
-    assert kinds(pair.heard) == [Offered, HungUp, Over] and pair.out.over
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, Over] and pair.out.over
 
 
 def test_a_peer_that_never_acknowledges_is_silent_after_all_repeats() -> None:
@@ -161,10 +171,10 @@
     for frame in parts(pair.out):
         pair.bring(True, frame)
     assert pair.inside is not None and parts(pair.inside), "its ACK is lost"
-    assert pair.out.stage.name == "SENT" and kinds(pair.heard) == [Offered]
+    assert pair.out.stage.name == "SENT" and kinds(pair.heard) == [SetUpReceived]
     pair.go_on(150.0)  # the NEW is repeated, and is no second set-up
     pair.carry()
-    assert kinds(pair.heard) == [Offered] and pair.out.stage is Stage.HEARD
+    assert kinds(pair.heard) == [SetUpReceived] and pair.out.stage is Stage.HEARD
 
 
 def test_answer_and_hang_up_cross() -> None:
@@ -174,7 +184,7 @@
     pair.out.hang_up(16, 10.0)
     pair.carry()
     assert kinds(pair.told) == [Over], "no answer comes of a leg that was given up"
-    assert kinds(pair.heard) == [Offered, HungUp, Over]
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, Over]
 
 
 def test_a_second_answer_changes_nothing() -> None:
@@ -251,7 +261,7 @@
     pair.inside.answer(4, [(Element.DESCRIPTION, b"\x07x")], 1.0)
     pair.carry()
     assert isinstance(pair.told[0], Failed) and pair.told[0].end is End.SPOILT
-    assert kinds(pair.heard) == [Offered, HungUp, Over]
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, Over]
 
 
 def test_what_a_leg_does_not_know_is_told_and_transfers_are_refused() -> None:
@@ -296,7 +306,12 @@
     answered = ended = False
     while pair.now < 60_000.0:
         pair.carry(loses, share)
-        if pair.inside is not None and not answered and Offered in kinds(pair.heard) and who != "give up":
+        if (
+            pair.inside is not None
+            and not answered
+            and SetUpReceived in kinds(pair.heard)
+            and who != "give up"
+        ):
             answered = True
             pair.answer()
         if not ended and pair.now >= ends_at:
@@ -313,7 +328,7 @@
         pair.go_on(50.0)
     assert pair.out.over, "a leg that is stuck"
     assert pair.inside is None or pair.inside.over, "a leg that is stuck"
-    assert kinds(pair.told).count(Answered) <= 1 and kinds(pair.heard).count(Offered) <= 1
+    assert kinds(pair.told).count(Answered) <= 1 and kinds(pair.heard).count(SetUpReceived) <= 1
     ends = (HungUp, Gone, Rejected, Failed)
     assert sum(isinstance(event, ends) for event in pair.told) <= 1, "one end"
 
