--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -21,7 +21,7 @@
 from pearloom.fakes.script import Faults, Path
 from pearloom.iax2.call_numbers import CallNumbers
 from pearloom.iax2.element_mapping import ULAW, call_elements
-from pearloom.iax2.events import Answered, Event, Failed, Gone, HungUp, MediaReceived, Over, Rejected
+from pearloom.iax2.events import Answered, Event, Failed, Gone, HungUp, LegEnded, MediaReceived, Rejected
 from pearloom.iax2.frames import Elements, FullFrame, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
 from pearloom.iax2.out_leg import OutLeg
@@ -234,7 +234,7 @@
                 leg.stands = False
             case MediaReceived():
                 self.spoken += 1
-            case Over():
+            case LegEnded():
                 self._legs.pop(leg.source, None)
                 self._by_call.pop(leg.call, None)
                 self._numbers.give_back(leg.source, _now())
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -17,7 +17,7 @@
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
 from pearloom.iax2 import call_tokens
 from pearloom.iax2.element_mapping import ULAW, answer_elements
-from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Over, SetUpReceived
+from pearloom.iax2.events import Event, Gone, HungUp, LegEnded, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import (
     Element,
     Elements,
@@ -172,7 +172,7 @@
             case MediaReceived(media):
                 self.spoken += 1
                 leg.say(media, self._now())  # an echo
-            case Over():
+            case LegEnded():
                 self._spent[leg.key] = self._now()
                 if self._legs.get(leg.peer) is leg:
                     del self._legs[leg.peer]
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -72,8 +72,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class LegEnded:
     """Nothing more is to come or to be sent; the call number may rest."""
 
 
-Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | SetUpReceived | MediaReceived | Over
+Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | SetUpReceived | MediaReceived | LegEnded
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -15,8 +15,8 @@
     Event,
     Gone,
     HungUp,
+    LegEnded,
     MediaReceived,
-    Over,
 )
 from pearloom.iax2.frames import (
     UNNUMBERED,
@@ -128,7 +128,7 @@
     def _end(self) -> None:
         self.over = True
         self.transport.forget()
-        self._events.append(Over())
+        self._events.append(LegEnded())
 
     def _full(self, frame: FullFrame, now_ms: float) -> None:
         verdict = self.transport.heard(frame, now_ms)
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -23,7 +23,7 @@
     CAUSE_TEMPORARY_FAILURE,
 )
 from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
-from pearloom.iax2.events import Event, Gone, HungUp, MediaReceived, Over, SetUpReceived
+from pearloom.iax2.events import Event, Gone, HungUp, LegEnded, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
@@ -238,7 +238,7 @@
             case MediaReceived(media) if leg.offer is not None:
                 self._counters.add("media_from_callers")
                 self._exchange.relay_caller_media(leg.offer.call, media)
-            case Over():
+            case LegEnded():
                 self._over(leg)
 
     def _offered(self, leg: CallerLeg, elements: Elements) -> None:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -18,8 +18,8 @@
     Failed,
     Gone,
     HungUp,
+    LegEnded,
     MediaReceived,
-    Over,
     Progressed,
     Rejected,
 )
@@ -289,7 +289,7 @@
             case MediaReceived(media):
                 self._side.counters.add("media_from_servers")
                 self._exchange.relay_server_media(self.name, call, media)
-            case Over():
+            case LegEnded():
                 self._legs.gone(leg)
                 if self._by_theirs.get(leg.transport.destination) is leg:
                     del self._by_theirs[leg.transport.destination]
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -18,8 +18,8 @@
     Failed,
     Gone,
     HungUp,
+    LegEnded,
     MediaReceived,
-    Over,
     Rejected,
     SetUpReceived,
 )
@@ -110,13 +110,13 @@
     assert said[1].timestamp_ms - said[0].timestamp_ms == 20
     inside.hang_up(16, 100.0)
     pair.carry()
-    assert kinds(pair.told) == [Answered, HungUp, Over] and kinds(pair.heard)[-1] is Over
+    assert kinds(pair.told) == [Answered, HungUp, LegEnded] and kinds(pair.heard)[-1] is LegEnded
 
 
 def test_a_wrong_secret_is_turned_away_before_any_offer() -> None:
     pair = Pair("right", known="wrong")
     pair.carry()
-    assert kinds(pair.told) == [Rejected, Over] and SetUpReceived not in kinds(pair.heard)
+    assert kinds(pair.told) == [Rejected, LegEnded] and SetUpReceived not in kinds(pair.heard)
 
 
 def test_a_challenge_without_a_secret_never_ran() -> None:
@@ -156,7 +156,7 @@
     assert pair.out.stage is Stage.HEARD and pair.out.due_ms() == float("inf"), "nothing is repeated"
     assert pair.out.fail(End.TIMED_OUT, 1000.0) == [Failed(Stage.HEARD, End.TIMED_OUT)]
     pair.carry()
-    assert kinds(pair.heard) == [SetUpReceived, HungUp, Over] and pair.out.over
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded] and pair.out.over
 
 
 def test_a_peer_that_never_acknowledges_is_silent_after_all_repeats() -> None:
@@ -183,8 +183,8 @@
     pair.answer()
     pair.out.hang_up(16, 10.0)
     pair.carry()
-    assert kinds(pair.told) == [Over], "no answer comes of a leg that was given up"
-    assert kinds(pair.heard) == [SetUpReceived, HungUp, Over]
+    assert kinds(pair.told) == [LegEnded], "no answer comes of a leg that was given up"
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded]
 
 
 def test_a_second_answer_changes_nothing() -> None:
@@ -206,7 +206,7 @@
     assert not pair.out.over
     pair.go_on(150.0)
     pair.carry()
-    assert pair.out.over and kinds(pair.heard)[-2:] == [HungUp, Over]
+    assert pair.out.over and kinds(pair.heard)[-2:] == [HungUp, LegEnded]
 
 
 def test_a_hang_up_is_heard_though_a_frame_before_it_is_missing() -> None:
@@ -219,7 +219,7 @@
     pair.out.hang_up(16, 11.0)
     (last,) = (one for one in parts(pair.out) if isinstance(one, FullFrame))
     assert pair.inside is not None
-    assert kinds(pair.inside.feed(last, 12.0)) == [HungUp, Over]
+    assert kinds(pair.inside.feed(last, 12.0)) == [HungUp, LegEnded]
 
 
 def test_a_hang_up_that_overtakes_what_may_be_an_answer_is_doubt() -> None:
@@ -228,7 +228,7 @@
     inside = pair.answer()
     inside.hang_up(16, 1.0)
     last = [one for one in parts(inside) if isinstance(one, FullFrame)][-1]
-    assert pair.out.feed(last, 2.0) == [Failed(Stage.HEARD, End.CUT), Over()]
+    assert pair.out.feed(last, 2.0) == [Failed(Stage.HEARD, End.CUT), LegEnded()]
 
 
 def test_a_second_challenge_proves_nothing() -> None:
@@ -246,12 +246,12 @@
     inval = FullFrame(9, 5, 0, 0, 0, FrameType.IAX, Iax.INVAL)
     pair = Pair()
     pair.carry()
-    assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, End.UNKNOWN_THERE), Over()]
+    assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, End.UNKNOWN_THERE), LegEnded()]
     pair = Pair()
     pair.carry()
     pair.answer()
     pair.carry()
-    assert pair.out.feed(inval, 1.0) == [Gone("unknown there"), Over()]
+    assert pair.out.feed(inval, 1.0) == [Gone("unknown there"), LegEnded()]
 
 
 def test_an_answer_whose_description_is_spoilt_is_not_passed_on() -> None:
@@ -261,7 +261,7 @@
     pair.inside.answer(4, [(Element.DESCRIPTION, b"\x07x")], 1.0)
     pair.carry()
     assert isinstance(pair.told[0], Failed) and pair.told[0].end is End.SPOILT
-    assert kinds(pair.heard) == [SetUpReceived, HungUp, Over]
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded]
 
 
 def test_what_a_leg_does_not_know_is_told_and_transfers_are_refused() -> None:
