--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -21,7 +21,7 @@
 from pearloom.fakes.script import Faults, Path
 from pearloom.iax2.call_numbers import CallNumbers
 from pearloom.iax2.element_mapping import ULAW, call_elements
-from pearloom.iax2.events import Answered, Event, Failed, Gone, HungUp, LegEnded, MediaReceived, Rejected
+from pearloom.iax2.events import Answered, Event, Failed, HungUp, LegEnded, LegLost, MediaReceived, Rejected
 from pearloom.iax2.frames import Elements, FullFrame, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
 from pearloom.iax2.out_leg import OutLeg
@@ -229,7 +229,7 @@
                 self._journal.add(what, self.name, leg.call)
             case Failed():
                 self._journal.add(What.GAVE_UP, self.name, leg.call)
-            case HungUp() | Gone():
+            case HungUp() | LegLost():
                 self._journal.add(What.RELEASED, self.name, leg.call)
                 leg.stands = False
             case MediaReceived():
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -17,7 +17,7 @@
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
 from pearloom.iax2 import call_tokens
 from pearloom.iax2.element_mapping import ULAW, answer_elements
-from pearloom.iax2.events import Event, Gone, HungUp, LegEnded, MediaReceived, SetUpReceived
+from pearloom.iax2.events import Event, HungUp, LegEnded, LegLost, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import (
     Element,
     Elements,
@@ -166,7 +166,7 @@
             case HungUp(_) if leg.call:
                 self._journal.add(What.OVER if leg.stands else What.WITHDRAWN, self.server, leg.call)
                 leg.stands = False
-            case Gone(_) if leg.call:
+            case LegLost(_) if leg.call:
                 self._journal.add(What.ENDED if leg.stands else What.DROPPED, self.server, leg.call)
                 leg.stands = False
             case MediaReceived(media):
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class LegLost:
     """The leg of a call that stands is no more, without a HANGUP."""
 
     reason: str
@@ -76,4 +76,6 @@
     """Nothing more is to come or to be sent; the call number may rest."""
 
 
-Event = Progressed | Answered | Rejected | Failed | HungUp | Gone | SetUpReceived | MediaReceived | LegEnded
+Event = (
+    Progressed | Answered | Rejected | Failed | HungUp | LegLost | SetUpReceived | MediaReceived | LegEnded
+)
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -13,9 +13,9 @@
 from pearloom.iax2.attempt_endings import CAUSE_TEMPORARY_FAILURE
 from pearloom.iax2.events import (
     Event,
-    Gone,
     HungUp,
     LegEnded,
+    LegLost,
     MediaReceived,
 )
 from pearloom.iax2.frames import (
@@ -209,10 +209,10 @@
 
     def _unknown_there(self, now_ms: float) -> None:
         """INVAL came."""
-        self._events.append(Gone("unknown there"))
+        self._events.append(LegLost("unknown there"))
         self._end()
 
     def _given_up(self, now_ms: float) -> None:
         """The peer confirms nothing any more, or a repeat is not wanted."""
-        self._events.append(Gone("silent"))
+        self._events.append(LegLost("silent"))
         self.hang_up(CAUSE_TEMPORARY_FAILURE, now_ms)
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -23,7 +23,7 @@
     CAUSE_TEMPORARY_FAILURE,
 )
 from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
-from pearloom.iax2.events import Event, Gone, HungUp, LegEnded, MediaReceived, SetUpReceived
+from pearloom.iax2.events import Event, HungUp, LegEnded, LegLost, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
@@ -232,7 +232,7 @@
                 self._offered(leg, elements)
             case HungUp(cause):
                 self._left(leg, cause)
-            case Gone(reason):
+            case LegLost(reason):
                 log_event(logging.INFO, "iax2_caller_gone", reason=reason)
                 self._left(leg, CAUSE_TEMPORARY_FAILURE)
             case MediaReceived(media) if leg.offer is not None:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -16,9 +16,9 @@
     Answered,
     Event,
     Failed,
-    Gone,
     HungUp,
     LegEnded,
+    LegLost,
     MediaReceived,
     Progressed,
     Rejected,
@@ -280,7 +280,7 @@
                 self._liveness.over(leg.source)
                 self._by_call.pop(call, None)
                 self._exchange.handle_server_release(self.name, call, cause)
-            case Gone(reason):
+            case LegLost(reason):
                 self._liveness.over(leg.source)
                 self._liveness.doubted(self.now_ms)
                 self._by_call.pop(call, None)
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -16,9 +16,9 @@
     Answered,
     Event,
     Failed,
-    Gone,
     HungUp,
     LegEnded,
+    LegLost,
     MediaReceived,
     Rejected,
     SetUpReceived,
@@ -251,7 +251,7 @@
     pair.carry()
     pair.answer()
     pair.carry()
-    assert pair.out.feed(inval, 1.0) == [Gone("unknown there"), LegEnded()]
+    assert pair.out.feed(inval, 1.0) == [LegLost("unknown there"), LegEnded()]
 
 
 def test_an_answer_whose_description_is_spoilt_is_not_passed_on() -> None:
@@ -329,7 +329,7 @@
     assert pair.out.over, "a leg that is stuck"
     assert pair.inside is None or pair.inside.over, "a leg that is stuck"
     assert kinds(pair.told).count(Answered) <= 1 and kinds(pair.heard).count(SetUpReceived) <= 1
-    ends = (HungUp, Gone, Rejected, Failed)
+    ends = (HungUp, LegLost, Rejected, Failed)
     assert sum(isinstance(event, ends) for event in pair.told) <= 1, "one end"
 
 
