--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -43,7 +43,7 @@
         """A leg under this side's call number `source`."""
         self.source = source  # this side's call number
         self.transport = Transport(source, now_ms, destination)
-        self.over = False
+        self.is_ended = False
         self.closing_since = math.inf  # this side's HANGUP or REJECT has left
         self._events: list[Event] = []
         self._speech = Speech()
@@ -59,7 +59,7 @@
 
     def due_ms(self) -> float:
         """When `tick` has something to do."""
-        return math.inf if self.over else min(self.transport.due_ms(), self.closing_since + LINGER_MS)
+        return math.inf if self.is_ended else min(self.transport.due_ms(), self.closing_since + LINGER_MS)
 
     # --- what both may say -------------------------------------------------------------------------------
     def ping(self, now_ms: float) -> None:
@@ -68,7 +68,7 @@
 
     def say(self, media: Media, now_ms: float) -> None:
         """Pass a piece of the call on; what the peer is too far behind for is dropped, as voice may be."""
-        if self.closing or self.over:
+        if self.closing or self.is_ended:
             return
         if media.kind is MediaKind.DIGIT:
             self.transport.send(FrameType.DTMF, media.payload[0], b"", now_ms)
@@ -84,7 +84,7 @@
         self._last(Iax.HANGUP, [(Element.CAUSECODE, bytes((cause & 0x7F,)))], now_ms)
 
     def _last(self, kind: Iax, elements: list[tuple[int, bytes]], now_ms: float) -> None:
-        if self.closing or self.over:
+        if self.closing or self.is_ended:
             return
         self.closing_since = now_ms
         self.transport.wind_up(now_ms)
@@ -93,7 +93,7 @@
     # --- what comes --------------------------------------------------------------------------------------
     def feed(self, frame: FullFrame | MiniFrame, now_ms: float) -> list[Event]:
         """Take a frame that belongs to this leg."""
-        if self.over:
+        if self.is_ended:
             return []
         if isinstance(frame, MiniFrame):
             media = None if self.closing else self._speech.mini_in(frame)
@@ -106,7 +106,7 @@
 
     def tick(self, now_ms: float) -> list[Event]:
         """Repeat what is due, and end what has waited too long."""
-        if not self.over:
+        if not self.is_ended:
             self.transport.tick(now_ms)
             self._settle(now_ms)
         return self._taken()
@@ -116,7 +116,7 @@
         return events
 
     def _settle(self, now_ms: float) -> None:
-        if self.over:
+        if self.is_ended:
             return
         if self.closing:
             lost = self.transport.lost or now_ms >= self.closing_since + LINGER_MS
@@ -126,7 +126,7 @@
             self._given_up(now_ms)
 
     def _end(self) -> None:
-        self.over = True
+        self.is_ended = True
         self.transport.forget()
         self._events.append(LegEnded())
 
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -51,7 +51,7 @@
     @property
     def is_connected(self) -> bool:
         """Has neither side hung up?"""
-        return not self.over
+        return not self.is_ended
 
     def send_answer(self, call: str, description: bytes) -> None:
         """Pass the answer on."""
@@ -221,7 +221,7 @@
         self._drop(leg)
 
     def _drop(self, leg: CallerLeg) -> None:
-        leg.over = True
+        leg.is_ended = True
         self._over(leg)
 
     # --- what happens on legs -------------------------------------------------------------------------------
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -198,7 +198,7 @@
 
     def fail(self, end: End, now_ms: float) -> list[Event]:
         """End the set-up for a reason that this side has; nothing where it is over or has its answer."""
-        if not self.over and not self.closing and self.stage is not Stage.ANSWERED:
+        if not self.is_ended and not self.closing and self.stage is not Stage.ANSWERED:
             self._fail(end, now_ms, "")
         return self._taken()
 
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -156,7 +156,7 @@
     assert pair.out.stage is Stage.HEARD and pair.out.due_ms() == float("inf"), "nothing is repeated"
     assert pair.out.fail(End.TIMED_OUT, 1000.0) == [Failed(Stage.HEARD, End.TIMED_OUT)]
     pair.carry()
-    assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded] and pair.out.over
+    assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded] and pair.out.is_ended
 
 
 def test_a_peer_that_never_acknowledges_is_silent_after_all_repeats() -> None:
@@ -203,10 +203,10 @@
     pair.carry()
     pair.out.hang_up(16, 0.0)
     parts(pair.out)
-    assert not pair.out.over
+    assert not pair.out.is_ended
     pair.go_on(150.0)
     pair.carry()
-    assert pair.out.over and kinds(pair.heard)[-2:] == [HungUp, LegEnded]
+    assert pair.out.is_ended and kinds(pair.heard)[-2:] == [HungUp, LegEnded]
 
 
 def test_a_hang_up_is_heard_though_a_frame_before_it_is_missing() -> None:
@@ -318,16 +318,16 @@
             ended = True
             side = pair.inside if who == "server" and pair.inside is not None else pair.out
             side.hang_up(16, pair.now)
-        if pair.out.over and (pair.inside is None or pair.inside.over):
+        if pair.out.is_ended and (pair.inside is None or pair.inside.is_ended):
             break
         # Each asks now and then, as the host's liveness does.
         if pair.now % 2000 < 50:
             for one in (pair.out, pair.inside):
-                if one is not None and not one.over and not one.closing:
+                if one is not None and not one.is_ended and not one.closing:
                     one.ping(pair.now)
         pair.go_on(50.0)
-    assert pair.out.over, "a leg that is stuck"
-    assert pair.inside is None or pair.inside.over, "a leg that is stuck"
+    assert pair.out.is_ended, "a leg that is stuck"
+    assert pair.inside is None or pair.inside.is_ended, "a leg that is stuck"
     assert kinds(pair.told).count(Answered) <= 1 and kinds(pair.heard).count(SetUpReceived) <= 1
     ends = (HungUp, LegLost, Rejected, Failed)
     assert sum(isinstance(event, ends) for event in pair.told) <= 1, "one end"
