--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -198,13 +198,13 @@
             self._flush(leg, [])
 
     def _give_up(self, leg: _CallerLeg) -> None:
-        if not leg.stands and not leg.is_ended and not leg.closing:
+        if not leg.stands and not leg.is_ended and not leg.is_closing:
             self._journal.add(What.GAVE_UP, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
     def _leave(self, leg: _CallerLeg) -> None:
-        if leg.stands and not leg.closing and not leg.is_ended:
+        if leg.stands and not leg.is_closing and not leg.is_ended:
             self._journal.add(What.LEFT, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -193,7 +193,7 @@
             gevent.spawn_later(leg.act.after_ms / 1000.0, self._act, leg)
 
     def _act(self, leg: _ServerLeg) -> None:
-        if leg.is_ended or leg.closing or self._legs.get(leg.peer) is not leg:
+        if leg.is_ended or leg.is_closing or self._legs.get(leg.peer) is not leg:
             return
         if leg.act.behaviour is Behaviour.TURN:
             self._journal.add(What.TURNED, self.server, leg.call)
--- a/pearloom/iax2/in_leg.py
+++ b/pearloom/iax2/in_leg.py
@@ -72,7 +72,7 @@
 
     def answer(self, codec: int, elements: list[tuple[int, bytes]], now_ms: float) -> None:
         """The call stands: ACCEPT with the codec, where none has gone, and ANSWER with the description."""
-        if self.closing or self.is_ended or self.answered:
+        if self.is_closing or self.is_ended or self.answered:
             return
         self.answered = True
         self.accept(codec, now_ms)
@@ -80,7 +80,7 @@
 
     def accept(self, codec: int, now_ms: float) -> None:
         """The set-up is being worked on."""
-        if not self.accepted and not self.closing and not self.is_ended:
+        if not self.accepted and not self.is_closing and not self.is_ended:
             self.accepted = True
             told = Elements([(Element.FORMAT, codec.to_bytes(4, "big"))])
             self.transport.send(FrameType.IAX, Iax.ACCEPT, told.encode(), now_ms)
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -49,7 +49,7 @@
         self._speech = Speech()
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Does only the acknowledgement of the last frame remain?"""
         return self.closing_since < math.inf
 
@@ -68,7 +68,7 @@
 
     def say(self, media: Media, now_ms: float) -> None:
         """Pass a piece of the call on; what the peer is too far behind for is dropped, as voice may be."""
-        if self.closing or self.is_ended:
+        if self.is_closing or self.is_ended:
             return
         if media.kind is MediaKind.DIGIT:
             self.transport.send(FrameType.DTMF, media.payload[0], b"", now_ms)
@@ -84,7 +84,7 @@
         self._last(Iax.HANGUP, [(Element.CAUSECODE, bytes((cause & 0x7F,)))], now_ms)
 
     def _last(self, kind: Iax, elements: list[tuple[int, bytes]], now_ms: float) -> None:
-        if self.closing or self.is_ended:
+        if self.is_closing or self.is_ended:
             return
         self.closing_since = now_ms
         self.transport.wind_up(now_ms)
@@ -96,7 +96,7 @@
         if self.is_ended:
             return []
         if isinstance(frame, MiniFrame):
-            media = None if self.closing else self._speech.mini_in(frame)
+            media = None if self.is_closing else self._speech.mini_in(frame)
             if media is not None:
                 self._events.append(MediaReceived(media))
         else:
@@ -118,7 +118,7 @@
     def _settle(self, now_ms: float) -> None:
         if self.is_ended:
             return
-        if self.closing:
+        if self.is_closing:
             lost = self.transport.lost or now_ms >= self.closing_since + LINGER_MS
             if lost or not self.transport.unconfirmed:
                 self._end()
@@ -136,7 +136,7 @@
         if iax == _ACK and self.transport.destination:
             return  # nearly half of all frames: its number is all that it says
         if iax == Iax.INVAL:
-            if self.closing:
+            if self.is_closing:
                 self._end()
             else:
                 self._unknown_there(now_ms)
@@ -156,9 +156,9 @@
             self._iax(frame, now_ms)
         elif frame.type == FrameType.CONTROL:
             self._control(frame, now_ms)
-        elif frame.type == FrameType.VOICE and not self.closing:
+        elif frame.type == FrameType.VOICE and not self.is_closing:
             self._events.append(MediaReceived(self._speech.full_in(frame)))
-        elif frame.type == FrameType.DTMF and not self.closing and frame.subclass < 128:
+        elif frame.type == FrameType.DTMF and not self.is_closing and frame.subclass < 128:
             self._events.append(
                 MediaReceived(Media(MediaKind.DIGIT, 0, frame.timestamp, bytes((frame.subclass,))))
             )
@@ -188,7 +188,7 @@
             elements = Elements()
         cause = elements.number(Element.CAUSECODE, 1)
         self.transport.acknowledge(frame.timestamp)
-        if not self.closing:
+        if not self.is_closing:
             self._hung_up(CAUSE_TEMPORARY_FAILURE if cause is None else cause, elements, early)
         self._end()
 
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -325,7 +325,7 @@
     def finish(self) -> None:
         """This process is about to end, and its legs with it: both sides are told, not left to find out."""
         for leg in self._legs.all():
-            if leg.answered and not leg.closing:
+            if leg.answered and not leg.is_closing:
                 self._left(leg, CAUSE_TEMPORARY_FAILURE)
                 self.release(leg, CAUSE_NETWORK_OUT_OF_ORDER)
 
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -95,7 +95,7 @@
         self.transport.send(FrameType.IAX, kind, data, now_ms, self._may_send)
 
     def _may_send(self) -> bool:
-        return may_send(self.stage, self._wanted(), not self.closing)
+        return may_send(self.stage, self._wanted(), not self.is_closing)
 
     @property
     def never_ran(self) -> bool:
@@ -103,7 +103,7 @@
         return self.stage in NEVER_RAN
 
     def _move(self, signal: Signal) -> bool:
-        done = None if self.closing else MOVES.get((self.stage, signal))
+        done = None if self.is_closing else MOVES.get((self.stage, signal))
         if done is None:
             return False
         self.stage = done
@@ -154,7 +154,7 @@
                 self._answer(frame, now_ms)
             case Control.RINGING | Control.PROGRESS | Control.PROCEEDING:
                 self._move(Signal.PROGRESS)
-            case Control.HANGUP | Control.BUSY | Control.CONGESTION if not self.closing:
+            case Control.HANGUP | Control.BUSY | Control.CONGESTION if not self.is_closing:
                 # Their causes come with the HANGUP that follows.
                 self._move(Signal.PROGRESS)
 
@@ -198,7 +198,7 @@
 
     def fail(self, end: End, now_ms: float) -> list[Event]:
         """End the set-up for a reason that this side has; nothing where it is over or has its answer."""
-        if not self.is_ended and not self.closing and self.stage is not Stage.ANSWERED:
+        if not self.is_ended and not self.is_closing and self.stage is not Stage.ANSWERED:
             self._fail(end, now_ms, "")
         return self._taken()
 
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -129,7 +129,7 @@
 
         Guards against a second attempt while a HANGUP is lost and the first one still at work."""
         leg = self._by_call.pop(call, None)
-        if leg is None or leg.is_ended or leg.closing:
+        if leg is None or leg.is_ended or leg.is_closing:
             return Progress.NOT_DIALLED
         self._side.counters.add("cancels_out")
         never_ran, leg.placed.given_up = leg.never_ran, True
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -323,7 +323,7 @@
         # Each asks now and then, as the host's liveness does.
         if pair.now % 2000 < 50:
             for one in (pair.out, pair.inside):
-                if one is not None and not one.is_ended and not one.closing:
+                if one is not None and not one.is_ended and not one.is_closing:
                     one.ping(pair.now)
         pair.go_on(50.0)
     assert pair.out.is_ended, "a leg that is stuck"
