--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -212,7 +212,7 @@
     def _flush(self, leg: _CallerLeg, events: list[Event]) -> None:
         for event in events:
             self._event(leg, event)
-        for data in leg.take():
+        for data in leg.take_datagrams():
             self._out.carry(data, self._put)
 
     def _put(self, data: bytes) -> None:
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -147,7 +147,7 @@
     def _flush(self, leg: _ServerLeg, events: list[Event]) -> None:
         for event in events:
             self._event(leg, event)
-        for data in leg.take():
+        for data in leg.take_datagrams():
             self._send(data, leg.peer[0])
 
     def _send(self, data: bytes, address: Address) -> None:
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -53,7 +53,7 @@
         """Does only the acknowledgement of the last frame remain?"""
         return self.closing_since < math.inf
 
-    def take(self) -> list[bytes]:
+    def take_datagrams(self) -> list[bytes]:
         """The datagrams to be sent, in order."""
         return self.transport.take()
 
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -84,7 +84,7 @@
         """Tell what happened, send what the leg has to send, and look at it again in time."""
         for event in events:
             self._on_event(leg, event)
-        for data in leg.take():
+        for data in leg.take_datagrams():
             self._send(leg, data)
         self._arm(leg)
 
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -32,7 +32,7 @@
 
 
 def parts(leg: Leg) -> list[FullFrame | MiniFrame]:
-    return [one for data in leg.take() for one in decode(data)]  # type: ignore[union-attr]
+    return [one for data in leg.take_datagrams() for one in decode(data)]  # type: ignore[union-attr]
 
 
 class Pair:
@@ -343,4 +343,4 @@
         if isinstance(found, list):
             for frame in found:
                 pair.told += pair.out.feed(frame, 1.0)
-                pair.out.take()
+                pair.out.take_datagrams()
