--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -175,7 +175,7 @@
 
     def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
         """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
-        number = self._numbers.take(_now())
+        number = self._numbers.allocate(_now())
         if number is None:
             raise RuntimeError("no call number is free")
         offer.codec = ULAW
--- a/pearloom/iax2/call_numbers.py
+++ b/pearloom/iax2/call_numbers.py
@@ -22,7 +22,7 @@
         self._fresh = count
         self._resting: deque[tuple[int, float]] = deque()
 
-    def take(self, now_ms: float) -> int | None:
+    def allocate(self, now_ms: float) -> int | None:
         """A number that rests no more, or None where all are in use or rest."""
         if self._fresh:
             number = self._next
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -49,7 +49,7 @@
 
     def number(self) -> int | None:
         """A call number for a new leg; None where they have run out."""
-        return self._numbers.take(self._now_ms())
+        return self._numbers.allocate(self._now_ms())
 
     def add(self, leg: L) -> None:
         """Keep a leg until `gone`."""
