--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -237,7 +237,7 @@
             case LegEnded():
                 self._legs.pop(leg.source, None)
                 self._by_call.pop(leg.call, None)
-                self._numbers.give_back(leg.source, _now())
+                self._numbers.release(leg.source, _now())
 
     def _read(self) -> None:
         while True:
--- a/pearloom/iax2/call_numbers.py
+++ b/pearloom/iax2/call_numbers.py
@@ -33,6 +33,6 @@
             return self._resting.popleft()[0]
         return None
 
-    def give_back(self, number: int, now_ms: float) -> None:
+    def release(self, number: int, now_ms: float) -> None:
         """Its leg is over."""
         self._resting.append((number, now_ms))
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -59,7 +59,7 @@
         """It is over: its number rests."""
         if self._legs.pop(leg.source, None) is not None:
             self._timers.pop(leg.source, None)
-            self._numbers.give_back(leg.source, self._now_ms())
+            self._numbers.release(leg.source, self._now_ms())
 
     def ask(self, numbers: Iterable[int]) -> int:
         """Send a PING on each of these legs that is still there; returns on how many."""
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -182,7 +182,7 @@
 def test_numbers_are_given_once_rest_and_run_out() -> None:
     numbers = CallNumbers(first=3, count=5)
     assert [numbers.allocate(0.0) for _ in range(6)] == [3, 4, 5, 1, 2, None]
-    numbers.give_back(4, 10.0)
+    numbers.release(4, 10.0)
     assert numbers.allocate(10.0 + RESTS_MS - 1) is None
     assert numbers.allocate(10.0 + RESTS_MS) == 4
 
