--- a/benchmarks/guards/iax2.py
+++ b/benchmarks/guards/iax2.py
@@ -27,7 +27,7 @@
           (f"{BAD_CALLERS}::test_a_plain_caller_is_served_and_a_late_copy_of_its_new_is_no_second_set_up",)),
     Guard("a token is bound to its source", "iax2/call_tokens.py", "hmac.compare_digest(digest, _digest(secret, source, number, told))", "True",
           (UNITS, PLAYED)),
-    Guard("a token ages", "iax2/call_tokens.py", "<= LIVES_MS:", "<= 1e18:", (UNITS,)),
+    Guard("a token ages", "iax2/call_tokens.py", "<= LIFETIME_MS:", "<= 1e18:", (UNITS,)),
     Guard("the token's time is taken off the patience", "iax2/listener.py", "offer.patience_ms -= ", "offer.patience_ms -= 0 * ",
           (f"{BAD_CALLERS}::test_the_time_that_a_token_took_is_taken_off_the_patience",)),
     Guard("the secret is checked", "iax2/in_leg.py", "hmac.compare_digest(told, wanted)", "True", (LEGS,)),
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -128,7 +128,7 @@
         if leg is not None and leg.key == key:
             self._flush(leg, leg.feed(frame, self._now()))
             return
-        if key in self._spent and self._now() - self._spent[key] < call_tokens.LIVES_MS:
+        if key in self._spent and self._now() - self._spent[key] < call_tokens.LIFETIME_MS:
             return
         if self._asks_token and not call_tokens.holds(self._key, source, frame.source, token, self._now()):
             made = call_tokens.issue(self._key, source, frame.source, self._now())
--- a/pearloom/iax2/call_tokens.py
+++ b/pearloom/iax2/call_tokens.py
@@ -10,7 +10,7 @@
 import hmac
 from hashlib import blake2b
 
-LIVES_MS = 10_000.0  # between the CALLTOKEN and the NEW that brings it back
+LIFETIME_MS = 10_000.0  # between the CALLTOKEN and the NEW that brings it back
 _TIME_OCTETS = 6
 _DIGEST_OCTETS = 16
 
@@ -28,7 +28,7 @@
     except ValueError:
         return False
     told, digest = whole[:_TIME_OCTETS], whole[_TIME_OCTETS:]
-    if not 0 <= now_ms - int.from_bytes(told, "big") + 1 <= LIVES_MS:
+    if not 0 <= now_ms - int.from_bytes(told, "big") + 1 <= LIFETIME_MS:
         return False
     return hmac.compare_digest(digest, _digest(secret, source, number, told))
 
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -281,7 +281,9 @@
             del self._by_peer[leg.peer]
         now = self._now_ms()
         self._spent[leg.token] = now
-        while len(self._spent) > TOKENS_KEPT or next(iter(self._spent.values())) < now - call_tokens.LIVES_MS:
+        while (
+            len(self._spent) > TOKENS_KEPT or next(iter(self._spent.values())) < now - call_tokens.LIFETIME_MS
+        ):
             self._spent.popitem(last=False)
 
     # --- what the exchange tells ----------------------------------------------------------------------------
