--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -130,7 +130,7 @@
             return
         if key in self._spent and self._now() - self._spent[key] < call_tokens.LIFETIME_MS:
             return
-        if self._asks_token and not call_tokens.holds(self._key, source, frame.source, token, self._now()):
+        if self._asks_token and not call_tokens.is_valid(self._key, source, frame.source, token, self._now()):
             made = call_tokens.issue(self._key, source, frame.source, self._now())
             asked = Elements([(Element.CALLTOKEN, made)]).encode()
             self._send(answer_without_leg(frame, Iax.CALLTOKEN, asked), source)
--- a/pearloom/iax2/call_tokens.py
+++ b/pearloom/iax2/call_tokens.py
@@ -21,7 +21,7 @@
     return (told + _digest(secret, source, number, told)).hex().encode()
 
 
-def holds(secret: bytes, source: tuple[str, int], number: int, token: bytes, now_ms: float) -> bool:
+def is_valid(secret: bytes, source: tuple[str, int], number: int, token: bytes, now_ms: float) -> bool:
     """Was this token issued here, to this source and number, and not long ago?"""
     try:
         whole = bytes.fromhex(token.decode("ascii"))
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -161,7 +161,7 @@
             self._malformed(elements.reason)
             return
         token = elements.get(Element.CALLTOKEN)
-        if not token or not call_tokens.holds(self._key, source, frame.source, token, now):
+        if not token or not call_tokens.is_valid(self._key, source, frame.source, token, now):
             self._ask_token(frame, source, token, now)
             return
         self._admission.showed(source[0], now)
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -190,13 +190,13 @@
 # --- tokens -------------------------------------------------------------------------------------------------
 @given(st.binary(max_size=80))
 def test_no_made_up_token_holds(token: bytes) -> None:
-    assert not call_tokens.holds(b"k", ("127.0.0.1", 4569), 7, token, 1_000_000.0)
+    assert not call_tokens.is_valid(b"k", ("127.0.0.1", 4569), 7, token, 1_000_000.0)
 
 
 def test_a_token_holds_for_its_source_number_and_time_alone() -> None:
     source, now = ("127.0.0.1", 4569), 1_800_000_000_000.0
     token = call_tokens.issue(b"key", source, 7, now)
-    assert call_tokens.holds(b"key", source, 7, token, now + call_tokens.LIFETIME_MS - 1)
+    assert call_tokens.is_valid(b"key", source, 7, token, now + call_tokens.LIFETIME_MS - 1)
     assert call_tokens.age_ms(token, now + 250.0) == 250.0
     for key, where, number, at in (
         (b"other", source, 7, now),
@@ -206,4 +206,4 @@
         (b"key", source, 7, now + call_tokens.LIFETIME_MS + 1),
         (b"key", source, 7, now - 1000),
     ):
-        assert not call_tokens.holds(key, where, number, token, at)
+        assert not call_tokens.is_valid(key, where, number, token, at)
