--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -41,7 +41,7 @@
 class CallerLeg(InLeg):
     """A leg that a caller opened: `exchange.Caller` for the one call on it."""
 
-    front: Front
+    front: IaxListener
     peer: _Peer
     token: bytes
     offer: SetUpRequest | None = None
@@ -70,7 +70,7 @@
         self.front.said(self, media)
 
 
-class Front:
+class IaxListener:
     """Listens for callers, and tells those that it brought what became of their calls."""
 
     def __init__(
@@ -335,7 +335,7 @@
 class Fronts:
     """The callers' sides of several protocols as the one that the exchange knows."""
 
-    def __init__(self, common: CallerSide, front: Front, counters: Counters) -> None:
+    def __init__(self, common: CallerSide, front: IaxListener, counters: Counters) -> None:
         """What no leg is there for goes to `common`, as calls of before a restart do."""
         self._common, self._front, self._counters = common, front, counters
 
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -23,7 +23,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.set_up_validation import SetUpValidator
-from pearloom.iax2.listener import Front, Fronts
+from pearloom.iax2.listener import Fronts, IaxListener
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
 from pearloom.records import Fields, RecordError, parse
@@ -71,7 +71,7 @@
             raise ConfigError(str(trouble)) from None
         except (OSError, UnicodeDecodeError) as trouble:
             raise ConfigError(f"{path}: {trouble}") from None
-        self.front: Front | None = None
+        self.front: IaxListener | None = None
         self._exchange: Exchange | None = None
         self._counters = Counters()
         self.together: Together | None = None
@@ -95,7 +95,7 @@
         self._servers, self._exchange, self._counters = servers, exchange, counters
         if self.iax2.listen is None:
             return callers
-        self.front = Front(
+        self.front = IaxListener(
             exchange,
             clock,
             counters,
@@ -157,12 +157,12 @@
             log_event(logging.WARNING, "iax2_listen_waits", reason=str(trouble))
             gevent.spawn(self._listen_later, self.front)
 
-    def _listen(self, front: Front) -> None:
+    def _listen(self, front: IaxListener) -> None:
         assert self.iax2.listen is not None
         host, port = front.listen(self.iax2.listen)
         log_event(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
 
-    def _listen_later(self, front: Front) -> None:
+    def _listen_later(self, front: IaxListener) -> None:
         for _ in range(int(LISTEN_FOR_S / LISTEN_AGAIN_S)):
             gevent.sleep(LISTEN_AGAIN_S)
             try:
