--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -332,7 +332,7 @@
                 self.release(leg, CAUSE_NETWORK_OUT_OF_ORDER)
 
 
-class Fronts:
+class CallerSides:
     """The callers' sides of several protocols as the one that the exchange knows."""
 
     def __init__(self, common: CallerSide, front: IaxListener, counters: Counters) -> None:
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -23,7 +23,7 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.set_up_validation import SetUpValidator
-from pearloom.iax2.listener import Fronts, IaxListener
+from pearloom.iax2.listener import CallerSides, IaxListener
 from pearloom.iax2.settings import Iax2, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
 from pearloom.records import Fields, RecordError, parse
@@ -104,7 +104,7 @@
             lambda: callers.is_in_service,
             lambda: callers.is_refusing,
         )
-        return Fronts(callers, self.front, counters)
+        return CallerSides(callers, self.front, counters)
 
     def routes(
         self, listing: PoolView, drain: Callable[[], object], activate: Callable[[], object]
