--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -81,12 +81,12 @@
         settings: Iax2,
         rules: SetUpValidator,
         is_in_service: Callable[[], bool],
-        refuses: Callable[[], bool],
+        is_refusing: Callable[[], bool],
     ) -> None:
         """Listen to nobody yet; `takes_work`: is a POKE answered? `refuses`: is it too late for set-ups?"""
         self._exchange, self._clock, self._counters = exchange, clock, counters
         self._settings, self._rules = settings, rules
-        self._takes_work, self._refuses = is_in_service, refuses
+        self._takes_work, self._refuses = is_in_service, is_refusing
         self._key = secrets.token_bytes(32)
         self._admission = Admission(settings.limits, clock.now_ms())
         self._port = UdpPort(self._datagram, lambda: self._legs.flush_all())
