--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -28,7 +28,7 @@
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import Legs, answer_without_leg
 from pearloom.iax2.liveness import Liveness
-from pearloom.iax2.settings import Iax2
+from pearloom.iax2.settings import Iax2Settings
 from pearloom.iax2.udp import UdpPort
 
 WATCH_MS = 100.0  # how often legs are looked at
@@ -78,7 +78,7 @@
         exchange: Exchange,
         clock: Clock,
         counters: Counters,
-        settings: Iax2,
+        settings: Iax2Settings,
         rules: SetUpValidator,
         is_in_service: Callable[[], bool],
         is_refusing: Callable[[], bool],
--- a/pearloom/iax2/settings.py
+++ b/pearloom/iax2/settings.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Iax2:
+class Iax2Settings:
     """What the operator says of IAX2."""
 
     listen: Address | None = None  # callers; None: none are taken
@@ -43,7 +43,7 @@
     )
 
 
-def read_iax2(fields: Fields, class_names: tuple[str, ...]) -> Iax2:
+def read_iax2(fields: Fields, class_names: tuple[str, ...]) -> Iax2Settings:
     """The record `iax2`; a RecordError says what is wrong and where."""
     listen = fields.text("listen", "", r"[^:]+:[0-9]{1,5}", "an address with a port")
     try:
@@ -55,7 +55,7 @@
         raise fields.error("default_class", f"has to be one of {', '.join(class_names)}")
     servers = fields.texts("servers", _SERVER, "a server's id, such as s-0000000a or s-0000*")
     server_secrets = fields.table("server_secrets", r"s-[0-9a-f]{8}", "a server's id")
-    found = Iax2(
+    found = Iax2Settings(
         listen=address,
         secrets=fields.table("secrets", _USER, "a name of 1 to 64 signs without blanks"),
         servers=servers,
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -24,7 +24,7 @@
 from pearloom.core.logs import log_event
 from pearloom.core.set_up_validation import SetUpValidator
 from pearloom.iax2.listener import CallerSides, IaxListener
-from pearloom.iax2.settings import Iax2, read_iax2
+from pearloom.iax2.settings import Iax2Settings, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
 from pearloom.records import Fields, RecordError, parse
 from pearloom.servers.directory import IAX2, SIP, Directory, TrunkFactory
@@ -62,7 +62,9 @@
         self._config = config
         try:
             fields = Fields(parse(Path(path).read_text(encoding="utf-8"), path), path)
-            self.iax2 = fields.read("iax2", lambda inner: read_iax2(inner, config.class_names)) or Iax2()
+            self.iax2 = (
+                fields.read("iax2", lambda inner: read_iax2(inner, config.class_names)) or Iax2Settings()
+            )
             self.store: StoreSettings | None = fields.read("store", read_store)
             self.turns = fields.read("turns", _read_turns)
             self.rules = fields.read("rules", _read_rules)
