--- a/pearloom/iax2/settings.py
+++ b/pearloom/iax2/settings.py
@@ -26,7 +26,7 @@
     default_class: str = ""  # of a caller that names none; empty: such a set-up is refused
     limits: Limits = field(default_factory=Limits)
 
-    def speaks(self, server: str) -> bool:
+    def uses_iax2(self, server: str) -> bool:
         """Does this server speak IAX2?"""
         return any(fnmatchcase(server, pattern) for pattern in self.servers)
 
@@ -64,7 +64,7 @@
         limits=fields.read("limits", read_limits) or Limits(),
     )
     for server in server_secrets:
-        if not found.speaks(server):
+        if not found.uses_iax2(server):
             raise fields.error("server_secrets", f"names {server}, which is none of the servers")
     for name, secret in (*found.secrets.items(), *server_secrets.items()):
         if not re.fullmatch(r".{8,128}", secret):
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -93,7 +93,7 @@
         makers[IAX2] = lambda side, server: IaxTrunk(
             side, server, self.iax2.server_secrets.get(server.entry.server, ""), first
         )
-        servers.protocol_of = lambda server: IAX2 if self.iax2.speaks(server) else SIP
+        servers.protocol_of = lambda server: IAX2 if self.iax2.uses_iax2(server) else SIP
         self._servers, self._exchange, self._counters = servers, exchange, counters
         if self.iax2.listen is None:
             return callers
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -94,7 +94,7 @@
     fields = Fields(parse(f"iax2: {{{text}}}", "f"), "f")
     found = fields.read("iax2", lambda inner: read_iax2(inner, CLASSES))
     assert found is not None and found.listen == ("127.0.0.1", 4569) and found.limits.legs == 7
-    assert found.speaks("s-0000001f") and not found.speaks("s-00000021")
+    assert found.uses_iax2("s-0000001f") and not found.uses_iax2("s-00000021")
 
 
 def test_the_example_is_valid() -> None:
