--- a/pearloom/iax2/admission.py
+++ b/pearloom/iax2/admission.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class AdmissionLimits:
     """What the operator allows."""
 
     legs: int = 8_000  # in all
@@ -39,7 +39,7 @@
 class Admission:
     """Counts what is held, and says what may be added."""
 
-    def __init__(self, limits: Limits, now_ms: float) -> None:
+    def __init__(self, limits: AdmissionLimits, now_ms: float) -> None:
         """Nothing held."""
         self._limits = limits
         self._by_source: Counter[str] = Counter()
--- a/pearloom/iax2/settings.py
+++ b/pearloom/iax2/settings.py
@@ -8,7 +8,7 @@
 from fnmatch import fnmatchcase
 
 from pearloom.core.config import Address, ConfigError, read_address
-from pearloom.iax2.admission import Limits
+from pearloom.iax2.admission import AdmissionLimits
 from pearloom.records import Fields
 
 _SERVER = r"s-[0-9a-f*?]{1,8}"
@@ -24,17 +24,17 @@
     servers: tuple[str, ...] = ()  # ids that speak it; * and ? stand for any digits
     server_secrets: Mapping[str, str] = field(default_factory=dict)  # by id
     default_class: str = ""  # of a caller that names none; empty: such a set-up is refused
-    limits: Limits = field(default_factory=Limits)
+    limits: AdmissionLimits = field(default_factory=AdmissionLimits)
 
     def uses_iax2(self, server: str) -> bool:
         """Does this server speak IAX2?"""
         return any(fnmatchcase(server, pattern) for pattern in self.servers)
 
 
-def read_limits(fields: Fields) -> Limits:
+def read_limits(fields: Fields) -> AdmissionLimits:
     """The record `limits`."""
-    base = Limits()
-    return Limits(
+    base = AdmissionLimits()
+    return AdmissionLimits(
         legs=int(fields.number("legs", base.legs, 1, 30_000, whole=True)),
         legs_per_source=int(fields.number("legs_per_source", base.legs_per_source, 1, 30_000, whole=True)),
         half_open=int(fields.number("half_open", base.half_open, 1, 30_000, whole=True)),
@@ -61,7 +61,7 @@
         servers=servers,
         server_secrets=server_secrets,
         default_class=default_class,
-        limits=fields.read("limits", read_limits) or Limits(),
+        limits=fields.read("limits", read_limits) or AdmissionLimits(),
     )
     for server in server_secrets:
         if not found.uses_iax2(server):
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pearloom.iax2 import call_tokens
-from pearloom.iax2.admission import PROVED_KEPT, Admission, Limits, Turned
+from pearloom.iax2.admission import PROVED_KEPT, Admission, AdmissionLimits, Turned
 from pearloom.iax2.attempt_endings import NEVER_RAN, End, Stage, may_send, proves, rejected
 from pearloom.iax2.call_numbers import RESTS_MS, CallNumbers
 from pearloom.iax2.liveness import AUDIT_MS, EACH_MS, LOST_MS, QUIET_MS, Liveness
@@ -71,7 +71,7 @@
 
 # --- admission ----------------------------------------------------------------------------------------------
 def test_limits_on_legs_in_all_by_source_and_half_open() -> None:
-    admission = Admission(Limits(legs=4, legs_per_source=2, half_open=1), 0.0)
+    admission = Admission(AdmissionLimits(legs=4, legs_per_source=2, half_open=1), 0.0)
     assert admission.turns("a", True) is None
     admission.opened("a", 1, True, 0.0)
     assert admission.turns("b", True) is Turned.TOO_MANY_HALF_OPEN
@@ -89,7 +89,7 @@
 
 
 def test_half_open_legs_are_overdue_in_the_order_that_they_came() -> None:
-    admission = Admission(Limits(half_open_ms=1000.0), 0.0)
+    admission = Admission(AdmissionLimits(half_open_ms=1000.0), 0.0)
     for leg in (1, 2, 3):
         admission.opened("a", leg, True, leg * 100.0)
     assert admission.overdue(1099.0) == [] and admission.overdue(1200.0) == [1, 2]
@@ -98,7 +98,7 @@
 
 
 def test_token_replies_are_limited_for_strangers_and_free_for_the_proven() -> None:
-    admission = Admission(Limits(tokens_per_s=100.0), 0.0)
+    admission = Admission(AdmissionLimits(tokens_per_s=100.0), 0.0)
     admission.showed("honest", 0.0)
     replied = sum(admission.may_reply(f"forged-{number}", number / 20.0) for number in range(20_000))
     assert 100 <= replied <= 130, "a second at 20,000 a second"
@@ -107,7 +107,7 @@
 
 
 def test_proven_sources_are_bounded() -> None:
-    admission = Admission(Limits(), 0.0)
+    admission = Admission(AdmissionLimits(), 0.0)
     for number in range(PROVED_KEPT + 10):
         admission.showed(f"source-{number}", 0.0)
     assert len(admission._proved) == PROVED_KEPT
