--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -20,7 +20,7 @@
 from pearloom.fakes.rules import SLACK_MS
 from pearloom.fakes.script import Faults, Path
 from pearloom.iax2.call_numbers import CallNumbers
-from pearloom.iax2.element_mapping import ULAW, call_elements
+from pearloom.iax2.element_mapping import ULAW, caller_elements
 from pearloom.iax2.events import Answered, Event, Failed, HungUp, LegEnded, LegLost, MediaReceived, Rejected
 from pearloom.iax2.frames import Elements, FullFrame, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
@@ -179,7 +179,7 @@
         if number is None:
             raise RuntimeError("no call number is free")
         offer.codec = ULAW
-        elements = Elements(call_elements(offer, self.name if self._secret else ""))
+        elements = Elements(caller_elements(offer, self.name if self._secret else ""))
         leg = _CallerLeg(number, elements, self._secret, _now(), lambda: True)
         leg.call = offer.call
         self._legs[number] = self._by_call[offer.call] = leg
--- a/pearloom/iax2/element_mapping.py
+++ b/pearloom/iax2/element_mapping.py
@@ -35,7 +35,7 @@
     return pairs
 
 
-def call_elements(offer: SetUpRequest, username: str = "") -> Pairs:
+def caller_elements(offer: SetUpRequest, username: str = "") -> Pairs:
     """What a caller says of its call in a NEW: the same, and what is meant for the softswitch alone."""
     pairs = offer_elements(SetUpAttempt(offer, 0, offer.patience_ms), username)
     pairs.append((Element.FIRST_CHOICE, offer.first_choice.to_bytes(4, "big", signed=True)))
