--- a/benchmarks/guards/iax2.py
+++ b/benchmarks/guards/iax2.py
@@ -39,7 +39,7 @@
     Guard("token replies are limited", "iax2/admission.py", "if self._tokens < 1:", "if False:", (UNITS,)),
     Guard("both numbers of a frame have to fit", "iax2/trunk.py", "leg.transport.destination not in (0, frame.source)", "False",
           (f"{BAD_CALLERS}::test_an_answer_under_another_leg_s_number_is_not_taken",)),
-    Guard("a hung up leg answers no call", "iax2/out_leg.py", "None if self.closing else MOVES", "MOVES", (LEGS,)),
+    Guard("a hung up leg answers no call", "iax2/out_leg.py", "None if self.is_closing else MOVES", "MOVES", (LEGS,)),
     Guard("an end is heard over a gap", "iax2/leg.py", "verdict is Verdict.EARLY and iax in", "False and iax in", (LEGS,)),
     Guard("a gap before a HANGUP is doubt", "iax2/out_leg.py", "        if early:", "        if False:", (LEGS,)),
     Guard("the order has no hole at the end", "iax2/transport.py", "if sent.may_repeat is not None:\n                sent", "if False:\n                sent", (TRANSPORT, LEGS)),
