--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -194,7 +194,7 @@
         """Say something in a call that stands."""
         leg = self._by_call.get(call)
         if leg is not None and leg.stands:
-            leg.say(Media(MediaKind.VOICE, ULAW, stamp_ms, payload), _now())
+            leg.transmit_media(Media(MediaKind.VOICE, ULAW, stamp_ms, payload), _now())
             self._flush(leg, [])
 
     def _give_up(self, leg: _CallerLeg) -> None:
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -171,7 +171,7 @@
                 leg.stands = False
             case MediaReceived(media):
                 self.spoken += 1
-                leg.say(media, self._now())  # an echo
+                leg.transmit_media(media, self._now())  # an echo
             case LegEnded():
                 self._spent[leg.key] = self._now()
                 if self._legs.get(leg.peer) is leg:
--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -66,7 +66,7 @@
         """Ask whether the peer still knows this leg (6.7.2)."""
         self.transport.send(FrameType.IAX, Iax.PING, b"", now_ms)
 
-    def say(self, media: Media, now_ms: float) -> None:
+    def transmit_media(self, media: Media, now_ms: float) -> None:
         """Pass a piece of the call on; what the peer is too far behind for is dropped, as voice may be."""
         if self.is_closing or self.is_ended:
             return
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -302,7 +302,7 @@
     def said(self, leg: CallerLeg, media: Media) -> None:
         """The server's side says something."""
         self._counters.add("media_to_callers")
-        leg.say(media, self._now_ms())
+        leg.transmit_media(media, self._now_ms())
         self._legs.flush(leg, [])
 
     def release(self, leg: CallerLeg, cause: int) -> None:
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -168,7 +168,7 @@
         leg = self._by_call.get(call)
         if leg is not None:
             self._side.counters.add("media_to_servers")
-            leg.say(media, self.now_ms)
+            leg.transmit_media(media, self.now_ms)
             self._legs.flush(leg, [])
 
     def update(self, server: Server) -> None:
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -99,9 +99,9 @@
     inside = pair.answer()
     pair.carry()
     assert pair.told == [Answered(b"there", "")]
-    pair.out.say(VOICE, 20.0)
-    pair.out.say(Media(MediaKind.VOICE, 4, 20, b"again"), 40.0)
-    pair.out.say(Media(MediaKind.DIGIT, 0, 0, b"5"), 50.0)
+    pair.out.transmit_media(VOICE, 20.0)
+    pair.out.transmit_media(Media(MediaKind.VOICE, 4, 20, b"again"), 40.0)
+    pair.out.transmit_media(Media(MediaKind.DIGIT, 0, 0, b"5"), 50.0)
     pair.carry()
     said = [event.media for event in pair.heard if isinstance(event, MediaReceived)]
     assert [(one.kind, one.payload) for one in said] == [
@@ -284,7 +284,7 @@
     pair.carry()
     for stamp in range(64_000, 68_000, 200):
         pair.now = float(stamp)
-        pair.out.say(Media(MediaKind.VOICE, 4, stamp, b"v"), pair.now)
+        pair.out.transmit_media(Media(MediaKind.VOICE, 4, stamp, b"v"), pair.now)
         pair.carry()
     said = [event.media.timestamp_ms for event in pair.heard if isinstance(event, MediaReceived)]
     assert [later - sooner for sooner, later in pairwise(said)] == [200] * 19
