--- a/pearloom/iax2/leg.py
+++ b/pearloom/iax2/leg.py
@@ -44,14 +44,14 @@
         self.source = source  # this side's call number
         self.transport = Transport(source, now_ms, destination)
         self.is_ended = False
-        self.closing_since = math.inf  # this side's HANGUP or REJECT has left
+        self.closing_since_ms = math.inf  # this side's HANGUP or REJECT has left
         self._events: list[Event] = []
         self._speech = Speech()
 
     @property
     def is_closing(self) -> bool:
         """Does only the acknowledgement of the last frame remain?"""
-        return self.closing_since < math.inf
+        return self.closing_since_ms < math.inf
 
     def take_datagrams(self) -> list[bytes]:
         """The datagrams to be sent, in order."""
@@ -59,7 +59,7 @@
 
     def due_ms(self) -> float:
         """When `tick` has something to do."""
-        return math.inf if self.is_ended else min(self.transport.due_ms(), self.closing_since + LINGER_MS)
+        return math.inf if self.is_ended else min(self.transport.due_ms(), self.closing_since_ms + LINGER_MS)
 
     # --- what both may say -------------------------------------------------------------------------------
     def ping(self, now_ms: float) -> None:
@@ -86,7 +86,7 @@
     def _last(self, kind: Iax, elements: list[tuple[int, bytes]], now_ms: float) -> None:
         if self.is_closing or self.is_ended:
             return
-        self.closing_since = now_ms
+        self.closing_since_ms = now_ms
         self.transport.wind_up(now_ms)
         self.transport.send(FrameType.IAX, kind, Elements(elements).encode(), now_ms, steady=True)
 
@@ -119,7 +119,7 @@
         if self.is_ended:
             return
         if self.is_closing:
-            lost = self.transport.lost or now_ms >= self.closing_since + LINGER_MS
+            lost = self.transport.lost or now_ms >= self.closing_since_ms + LINGER_MS
             if lost or not self.transport.unconfirmed:
                 self._end()
         elif self.transport.lost or self.transport.stopped:
