--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -18,7 +18,7 @@
 
 from pearloom.core.errors import Malformed
 
-MOST_BYTES = 16 * 1024  # of one datagram: a description of 15 KiB and its headers
+MAX_DATAGRAM_BYTES = 16 * 1024  # of one datagram: a description of 15 KiB and its headers
 CALL_NUMBERS = 1 << 15  # of which 0 stands for none
 VERSION = 2
 _FULL = struct.Struct(">HHIBBBB")
@@ -195,7 +195,7 @@
 
 def decode(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
     """The frames of one datagram: one, or those of a meta frame."""
-    if len(data) > MOST_BYTES:
+    if len(data) > MAX_DATAGRAM_BYTES:
         return Malformed("a datagram over 16 KiB", fatal=False)
     if len(data) < _MINI.size:
         return Malformed(f"{len(data)} bytes", fatal=False)
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -104,7 +104,7 @@
 
 
 def test_bounds_hold_before_anything_is_read() -> None:
-    assert isinstance(frames.decode(bytes(frames.MOST_BYTES + 1)), Malformed)
+    assert isinstance(frames.decode(bytes(frames.MAX_DATAGRAM_BYTES + 1)), Malformed)
     for short in (b"", b"\x80", bytes.fromhex("80010000"), bytes.fromhex("0000010000")):
         assert isinstance(frames.decode(short), Malformed)
     huge = bytes.fromhex("800500000000000700000 6ff".replace(" ", ""))
