--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -30,7 +30,7 @@
 _SHIFTED = 0x80  # the subclass is a power of two
 _TRUNK = 1  # the one meta command that there is
 _STAMPED = 1  # its entries carry a timestamp each
-MOST_VALUE = 255  # octets of one element
+MAX_ELEMENT_OCTETS = 255  # octets of one element
 
 
 class FrameType(IntEnum):
@@ -317,7 +317,7 @@
 
 
 # --- descriptions: longer than one element --------------------------------------------------------------
-_BLOCK = MOST_VALUE - 1
+_BLOCK = MAX_ELEMENT_OCTETS - 1
 MOST_DESCRIPTION = 15 * 1024
 
 
