--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -318,7 +318,7 @@
 
 # --- descriptions: longer than one element --------------------------------------------------------------
 _BLOCK = MAX_ELEMENT_OCTETS - 1
-MOST_DESCRIPTION = 15 * 1024
+MAX_DESCRIPTION_BYTES = 15 * 1024
 
 
 def split_description(description: bytes) -> list[tuple[int, bytes]]:
@@ -342,6 +342,6 @@
     if any(not block or block[0] != place for place, block in enumerate(blocks)):
         return Malformed("parts of a description are missing or out of order", fatal=False)
     whole = b"".join(block[1:] for block in blocks)
-    if len(whole) < 2 or len(whole) - 2 != whole[0] << 8 | whole[1] or len(whole) - 2 > MOST_DESCRIPTION:
+    if len(whole) < 2 or len(whole) - 2 != whole[0] << 8 | whole[1] or len(whole) - 2 > MAX_DESCRIPTION_BYTES:
         return Malformed("a description whose length does not fit", fatal=False)
     return whole[2:]
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -82,7 +82,7 @@
     assert isinstance(found, Elements) and list(found) == pairs
 
 
-@given(st.binary(max_size=frames.MOST_DESCRIPTION))
+@given(st.binary(max_size=frames.MAX_DESCRIPTION_BYTES))
 def test_descriptions_of_any_length_come_back(description: bytes) -> None:
     assert frames.join_description(Elements(frames.split_description(description))) == description
 
