--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -166,7 +166,7 @@
     return head + frame.data
 
 
-def mark_repeated(data: bytes, iseq: int) -> bytes:
+def mark_retransmitted(data: bytes, iseq: int) -> bytes:
     """The same full frame sent again (7.2.1): the R bit is set, and what has come since is acknowledged."""
     return b"".join((data[:2], bytes((data[2] | 0x80,)), data[3:9], bytes((iseq,)), data[10:]))
 
--- a/pearloom/iax2/transport.py
+++ b/pearloom/iax2/transport.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from pearloom.iax2.frames import FrameType, FullFrame, Iax, encode_full, mark_repeated
+from pearloom.iax2.frames import FrameType, FullFrame, Iax, encode_full, mark_retransmitted
 
 FIRST_RTT_MS = 60.0  # taken until the first sample: two regions and some work
 LEAST_RETRY_MS = 50.0
@@ -197,7 +197,7 @@
         if not sent.steady or sent.tries > STEADY_TRIES:
             sent.wait_ms = min(2 * sent.wait_ms, MOST_RETRY_MS)
         sent.due_ms = now_ms + sent.wait_ms
-        self.out.append(mark_repeated(sent.data, self._iseq))
+        self.out.append(mark_retransmitted(sent.data, self._iseq))
 
     # --- time --------------------------------------------------------------------------------------------
     def due_ms(self) -> float:
--- a/tests/iax2/test_frames.py
+++ b/tests/iax2/test_frames.py
@@ -33,7 +33,7 @@
 
 @given(FULL, OCTETS)
 def test_a_repeat_differs_in_its_mark_and_acknowledgement_alone(frame: FullFrame, iseq: int) -> None:
-    again = frames.mark_repeated(frames.encode_full(frame), iseq)
+    again = frames.mark_retransmitted(frames.encode_full(frame), iseq)
     wanted = FullFrame(frame.source, frame.destination, frame.timestamp, frame.oseq, iseq, frame.type,
                   frame.subclass, frame.data, True)  # fmt: skip
     assert frames.decode(again) == [wanted]
