--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -25,7 +25,7 @@
     ANSWERED = "ANSWER came"
 
 
-class End(Enum):
+class SetUpFailure(Enum):
     """What ends a set-up's leg without an answer, but for a cause that the peer names."""
 
     WITHDRAWN = "its server may get no new set-up"
@@ -44,25 +44,25 @@
 # What remains where the set-up may have run. UNREACHABLE and UNKNOWN_THERE prove nothing: either may answer a
 # later frame than the one that a process since gone has taken.
 _DOUBT = {
-    End.WITHDRAWN: Ending.RESET,
-    End.TIMED_OUT: Ending.TIMED_OUT,
-    End.CANCELLED: Ending.CANCELLED,
-    End.SILENT: Ending.RESET,
-    End.UNKNOWN_THERE: Ending.RESET,
-    End.UNREACHABLE: Ending.RESET,
-    End.SPOILT: Ending.RESET,
-    End.CUT: Ending.RESET,
+    SetUpFailure.WITHDRAWN: Ending.RESET,
+    SetUpFailure.TIMED_OUT: Ending.TIMED_OUT,
+    SetUpFailure.CANCELLED: Ending.CANCELLED,
+    SetUpFailure.SILENT: Ending.RESET,
+    SetUpFailure.UNKNOWN_THERE: Ending.RESET,
+    SetUpFailure.UNREACHABLE: Ending.RESET,
+    SetUpFailure.SPOILT: Ending.RESET,
+    SetUpFailure.CUT: Ending.RESET,
 }
 # The same where it never ran: it was not sent, or the one it was for is not there.
-_PROVEN = {end: Ending.NOT_SENT for end in End} | {
-    End.SILENT: Ending.UNREACHABLE,
-    End.UNKNOWN_THERE: Ending.UNREACHABLE,
-    End.UNREACHABLE: Ending.UNREACHABLE,
-    End.SPOILT: Ending.ERROR,
+_PROVEN = {end: Ending.NOT_SENT for end in SetUpFailure} | {
+    SetUpFailure.SILENT: Ending.UNREACHABLE,
+    SetUpFailure.UNKNOWN_THERE: Ending.UNREACHABLE,
+    SetUpFailure.UNREACHABLE: Ending.UNREACHABLE,
+    SetUpFailure.SPOILT: Ending.ERROR,
 }
 
 
-def proves(stage: Stage, end: End) -> Ending:
+def proves(stage: Stage, end: SetUpFailure) -> Ending:
     """The ending that a leg's end stands for. An ANSWERED leg has no such end: its call stands."""
     if stage is Stage.ANSWERED:
         raise ValueError("an answered set-up has ended well")
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from pearloom.core.calls import Media
-from pearloom.iax2.attempt_endings import End, Stage
+from pearloom.iax2.attempt_endings import SetUpFailure, Stage
 from pearloom.iax2.frames import (
     Elements,
 )
@@ -39,7 +39,7 @@
     """The set-up ended without a word of the peer on it."""
 
     stage: Stage
-    end: End
+    end: SetUpFailure
     reason: str = ""
 
 
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from pearloom.core.errors import Malformed
-from pearloom.iax2.attempt_endings import CAUSE_NORMAL, NEVER_RAN, End, Stage, may_send
+from pearloom.iax2.attempt_endings import CAUSE_NORMAL, NEVER_RAN, SetUpFailure, Stage, may_send
 from pearloom.iax2.challenge import md5_result
 from pearloom.iax2.events import (
     Answered,
@@ -89,7 +89,7 @@
     def _begin(self, kind: Iax, data: bytes, stage: Stage, now_ms: float) -> None:
         """Send a frame that starts work, unless its server's drain or the call's end stops it."""
         if not self._may_send():
-            self._fail(End.WITHDRAWN, now_ms, "not wanted any more")
+            self._fail(SetUpFailure.WITHDRAWN, now_ms, "not wanted any more")
             return
         self.stage = stage
         self.transport.send(FrameType.IAX, kind, data, now_ms, self._may_send)
@@ -120,7 +120,7 @@
             elements = decode_elements(frame.data)
             token = None if isinstance(elements, Malformed) else elements.get(Element.CALLTOKEN)
             if not token:
-                self._fail(End.SPOILT, now_ms, "a CALLTOKEN without a token")
+                self._fail(SetUpFailure.SPOILT, now_ms, "a CALLTOKEN without a token")
                 return
             self.transport.restart()
             self._new(token, Stage.TOKEN_SENT, now_ms)
@@ -143,7 +143,7 @@
         challenge = None if isinstance(elements, Malformed) else elements.text(Element.CHALLENGE)
         methods = 0 if isinstance(elements, Malformed) else elements.number(Element.AUTHMETHODS, 2) or 0
         if not challenge or not methods & AUTH_MD5 or not self._secret:
-            self._fail(End.SPOILT, now_ms, "a challenge that can't be answered")
+            self._fail(SetUpFailure.SPOILT, now_ms, "a challenge that can't be answered")
             return
         result = Elements([(Element.MD5_RESULT, md5_result(challenge, self._secret).encode())])
         self._begin(Iax.AUTHREP, result.encode(), Stage.AUTH_SENT, now_ms)
@@ -167,7 +167,7 @@
         if isinstance(elements, Malformed) or isinstance(description, Malformed):
             # Guards against passing on what is not as the server made it.
             self.stage = stage
-            self._fail(End.SPOILT, now_ms, getattr(description, "reason", "malformed"))
+            self._fail(SetUpFailure.SPOILT, now_ms, getattr(description, "reason", "malformed"))
             return
         self._events.append(Answered(description, elements.text(Element.CIRCUITS) or ""))
 
@@ -177,7 +177,7 @@
             return
         if early:
             # Guards against taking a call that stood for a moment for one that was turned away.
-            self._events.append(Failed(self.stage, End.CUT))
+            self._events.append(Failed(self.stage, SetUpFailure.CUT))
             return
         why = elements.text(Element.CAUSE) or ""
         circuits = elements.text(Element.CIRCUITS) or ""
@@ -187,21 +187,21 @@
         if self.stage is Stage.ANSWERED:
             super()._unknown_there(now_ms)
         else:
-            self._events.append(Failed(self.stage, End.UNKNOWN_THERE))
+            self._events.append(Failed(self.stage, SetUpFailure.UNKNOWN_THERE))
             self._end()
 
     def _given_up(self, now_ms: float) -> None:
         if self.stage is Stage.ANSWERED:
             super()._given_up(now_ms)
         else:
-            self._fail(End.WITHDRAWN if self.transport.stopped else End.SILENT, now_ms, "")
+            self._fail(SetUpFailure.WITHDRAWN if self.transport.stopped else SetUpFailure.SILENT, now_ms, "")
 
-    def fail(self, end: End, now_ms: float) -> list[Event]:
+    def fail(self, end: SetUpFailure, now_ms: float) -> list[Event]:
         """End the set-up for a reason that this side has; nothing where it is over or has its answer."""
         if not self.is_ended and not self.is_closing and self.stage is not Stage.ANSWERED:
             self._fail(end, now_ms, "")
         return self._taken()
 
-    def _fail(self, end: End, now_ms: float, reason: str) -> None:
+    def _fail(self, end: SetUpFailure, now_ms: float, reason: str) -> None:
         self._events.append(Failed(self.stage, end, reason))
         self.hang_up(CAUSE_NORMAL, now_ms)
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -10,7 +10,7 @@
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
 from pearloom.core.logs import log_event
-from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, End, proves, rejected
+from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, SetUpFailure, proves, rejected
 from pearloom.iax2.element_mapping import offer_elements
 from pearloom.iax2.events import (
     Answered,
@@ -218,7 +218,7 @@
         log_event(logging.INFO, "iax2_refused", server=self.name)
         self._lost("refused")
         for leg in self._legs.all():
-            self._legs.flush(leg, leg.fail(End.UNREACHABLE, self.now_ms))
+            self._legs.flush(leg, leg.fail(SetUpFailure.UNREACHABLE, self.now_ms))
 
     # --- what comes -----------------------------------------------------------------------------------------
     def _datagram(self, data: bytes) -> None:
@@ -269,7 +269,7 @@
                     ),
                 )
             case Failed(stage, end, reason):
-                if end is End.SPOILT:
+                if end is SetUpFailure.SPOILT:
                     self._side.counters.add("malformed_from_servers")
                     log_event(
                         logging.WARNING, "server_malformed", server=self.name, reason=reason, closed=True
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -10,7 +10,7 @@
 
 from pearloom.iax2 import call_tokens
 from pearloom.iax2.admission import PROVED_KEPT, Admission, AdmissionLimits, Turned
-from pearloom.iax2.attempt_endings import NEVER_RAN, End, Stage, may_send, proves, rejected
+from pearloom.iax2.attempt_endings import NEVER_RAN, SetUpFailure, Stage, may_send, proves, rejected
 from pearloom.iax2.call_numbers import RESTS_MS, CallNumbers
 from pearloom.iax2.liveness import AUDIT_MS, EACH_MS, LOST_MS, QUIET_MS, Liveness
 from pearloom.iax2.out_leg import MOVES, Signal
@@ -20,15 +20,15 @@
 
 
 # --- doubt --------------------------------------------------------------------------------------------------
-@pytest.mark.parametrize(("stage", "end"), product(Stage, End))
-def test_never_ran_is_said_only_where_the_peer_kept_nothing(stage: Stage, end: End) -> None:
+@pytest.mark.parametrize(("stage", "end"), product(Stage, SetUpFailure))
+def test_never_ran_is_said_only_where_the_peer_kept_nothing(stage: Stage, end: SetUpFailure) -> None:
     if stage is Stage.ANSWERED:
         with pytest.raises(ValueError, match="answered"):
             proves(stage, end)
         return
     ending = proves(stage, end)
     if stage in NEVER_RAN:
-        assert ending in PROVEN or (end is End.SPOILT and ending is Ending.ERROR)
+        assert ending in PROVEN or (end is SetUpFailure.SPOILT and ending is Ending.ERROR)
     else:
         assert ending in (Ending.RESET, Ending.TIMED_OUT, Ending.CANCELLED), "in doubt: 300 ms follow"
 
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pearloom.core.calls import Media, MediaKind
-from pearloom.iax2.attempt_endings import End, Stage
+from pearloom.iax2.attempt_endings import SetUpFailure, Stage
 from pearloom.iax2.element_mapping import answer_elements
 from pearloom.iax2.events import (
     Answered,
@@ -122,7 +122,7 @@
 def test_a_challenge_without_a_secret_never_ran() -> None:
     pair = Pair("right", known="")
     pair.carry()
-    assert pair.told[0] == Failed(Stage.CHALLENGED, End.SPOILT, "a challenge that can't be answered")
+    assert pair.told[0] == Failed(Stage.CHALLENGED, SetUpFailure.SPOILT, "a challenge that can't be answered")
 
 
 @pytest.mark.parametrize(("token", "secret"), [(True, ""), (False, "s3cret")])
@@ -134,7 +134,7 @@
         pair.bring(True, frame)
     pair.carry()
     stage = Stage.TOKEN_ASKED if token else Stage.CHALLENGED
-    assert pair.told[0] == Failed(stage, End.WITHDRAWN, "not wanted any more")
+    assert pair.told[0] == Failed(stage, SetUpFailure.WITHDRAWN, "not wanted any more")
     assert SetUpReceived not in kinds(pair.heard)
 
 
@@ -143,7 +143,7 @@
     parts(pair.out)  # lost
     pair.wanted = False
     pair.go_on(150.0)
-    assert pair.told == [Failed(Stage.SENT, End.WITHDRAWN)]
+    assert pair.told == [Failed(Stage.SENT, SetUpFailure.WITHDRAWN)]
     sent = [one for one in parts(pair.out) if isinstance(one, FullFrame)]
     assert [one.subclass for one in sent] == [Iax.HANGUP]
     pair.go_on(120.0)
@@ -154,7 +154,7 @@
     pair = Pair()
     pair.carry()
     assert pair.out.stage is Stage.HEARD and pair.out.due_ms() == float("inf"), "nothing is repeated"
-    assert pair.out.fail(End.TIMED_OUT, 1000.0) == [Failed(Stage.HEARD, End.TIMED_OUT)]
+    assert pair.out.fail(SetUpFailure.TIMED_OUT, 1000.0) == [Failed(Stage.HEARD, SetUpFailure.TIMED_OUT)]
     pair.carry()
     assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded] and pair.out.is_ended
 
@@ -163,7 +163,7 @@
     pair = Pair()
     while not pair.told:
         pair.go_on(100.0)
-    assert pair.told == [Failed(Stage.SENT, End.SILENT)] and pair.now < 5000.0
+    assert pair.told == [Failed(Stage.SENT, SetUpFailure.SILENT)] and pair.now < 5000.0
 
 
 def test_an_acknowledgement_that_is_lost_leaves_the_set_up_running_and_in_doubt() -> None:
@@ -228,7 +228,7 @@
     inside = pair.answer()
     inside.hang_up(16, 1.0)
     last = [one for one in parts(inside) if isinstance(one, FullFrame)][-1]
-    assert pair.out.feed(last, 2.0) == [Failed(Stage.HEARD, End.CUT), LegEnded()]
+    assert pair.out.feed(last, 2.0) == [Failed(Stage.HEARD, SetUpFailure.CUT), LegEnded()]
 
 
 def test_a_second_challenge_proves_nothing() -> None:
@@ -246,7 +246,7 @@
     inval = FullFrame(9, 5, 0, 0, 0, FrameType.IAX, Iax.INVAL)
     pair = Pair()
     pair.carry()
-    assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, End.UNKNOWN_THERE), LegEnded()]
+    assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, SetUpFailure.UNKNOWN_THERE), LegEnded()]
     pair = Pair()
     pair.carry()
     pair.answer()
@@ -260,7 +260,7 @@
     assert pair.inside is not None
     pair.inside.answer(4, [(Element.DESCRIPTION, b"\x07x")], 1.0)
     pair.carry()
-    assert isinstance(pair.told[0], Failed) and pair.told[0].end is End.SPOILT
+    assert isinstance(pair.told[0], Failed) and pair.told[0].end is SetUpFailure.SPOILT
     assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded]
 
 
