--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -62,7 +62,7 @@
 }
 
 
-def proves(stage: Stage, end: SetUpFailure) -> Ending:
+def ending_for_failure(stage: Stage, end: SetUpFailure) -> Ending:
     """The ending that a leg's end stands for. An ANSWERED leg has no such end: its call stands."""
     if stage is Stage.ANSWERED:
         raise ValueError("an answered set-up has ended well")
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -10,7 +10,13 @@
 from pearloom.core.errors import AttemptError, Malformed, Progress
 from pearloom.core.exchange import CAUSE_CUT, CAUSE_NORMAL
 from pearloom.core.logs import log_event
-from pearloom.iax2.attempt_endings import CAUSE_CONGESTION, CAUSE_NO_CIRCUIT, SetUpFailure, proves, rejected
+from pearloom.iax2.attempt_endings import (
+    CAUSE_CONGESTION,
+    CAUSE_NO_CIRCUIT,
+    SetUpFailure,
+    ending_for_failure,
+    rejected,
+)
 from pearloom.iax2.element_mapping import offer_elements
 from pearloom.iax2.events import (
     Answered,
@@ -274,7 +280,7 @@
                     log_event(
                         logging.WARNING, "server_malformed", server=self.name, reason=reason, closed=True
                     )
-                ending = proves(stage, end)
+                ending = ending_for_failure(stage, end)
                 self._ended(leg, AttemptError(Progress.SENT, f"{end.name.lower()} {reason}".strip(), ending))
             case HungUp(cause):
                 self._liveness.over(leg.source)
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -10,7 +10,14 @@
 
 from pearloom.iax2 import call_tokens
 from pearloom.iax2.admission import PROVED_KEPT, Admission, AdmissionLimits, Turned
-from pearloom.iax2.attempt_endings import NEVER_RAN, SetUpFailure, Stage, may_send, proves, rejected
+from pearloom.iax2.attempt_endings import (
+    NEVER_RAN,
+    SetUpFailure,
+    Stage,
+    ending_for_failure,
+    may_send,
+    rejected,
+)
 from pearloom.iax2.call_numbers import RESTS_MS, CallNumbers
 from pearloom.iax2.liveness import AUDIT_MS, EACH_MS, LOST_MS, QUIET_MS, Liveness
 from pearloom.iax2.out_leg import MOVES, Signal
@@ -24,9 +31,9 @@
 def test_never_ran_is_said_only_where_the_peer_kept_nothing(stage: Stage, end: SetUpFailure) -> None:
     if stage is Stage.ANSWERED:
         with pytest.raises(ValueError, match="answered"):
-            proves(stage, end)
+            ending_for_failure(stage, end)
         return
-    ending = proves(stage, end)
+    ending = ending_for_failure(stage, end)
     if stage in NEVER_RAN:
         assert ending in PROVEN or (end is SetUpFailure.SPOILT and ending is Ending.ERROR)
     else:
