--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -86,7 +86,7 @@
 }
 
 
-def rejected(stage: Stage, cause: int) -> Ending:
+def ending_for_cause(stage: Stage, cause: int) -> Ending:
     """What a REJECT (or a HANGUP before any ANSWER) with this cause proves.
 
     After ACCEPT the peer has been at work, so no cause proves that the call never ran."""
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -14,8 +14,8 @@
     CAUSE_CONGESTION,
     CAUSE_NO_CIRCUIT,
     SetUpFailure,
+    ending_for_cause,
     ending_for_failure,
-    rejected,
 )
 from pearloom.iax2.element_mapping import offer_elements
 from pearloom.iax2.events import (
@@ -263,7 +263,7 @@
                 self._answered(leg, description)
             case Rejected(stage, cause, why, circuits):
                 self._report(circuits)
-                ending = rejected(stage, cause)
+                ending = ending_for_cause(stage, cause)
                 self._ended(
                     leg,
                     AttemptError(
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -14,9 +14,9 @@
     NEVER_RAN,
     SetUpFailure,
     Stage,
+    ending_for_cause,
     ending_for_failure,
     may_send,
-    rejected,
 )
 from pearloom.iax2.call_numbers import RESTS_MS, CallNumbers
 from pearloom.iax2.liveness import AUDIT_MS, EACH_MS, LOST_MS, QUIET_MS, Liveness
@@ -50,8 +50,8 @@
      (102, Ending.TIMED_OUT), (41, Ending.ERROR), (16, Ending.ERROR), (0, Ending.ERROR), (255, Ending.ERROR)],
 )  # fmt: skip
 def test_causes_of_a_reject(cause: int, ending: Ending) -> None:
-    assert rejected(Stage.HEARD, cause) is ending
-    after_work = rejected(Stage.ACCEPTED, cause)
+    assert ending_for_cause(Stage.HEARD, cause) is ending
+    after_work = ending_for_cause(Stage.ACCEPTED, cause)
     assert after_work not in PROVEN and (ending in PROVEN or after_work is ending)
 
 
