--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -14,7 +14,7 @@
 class Stage(Enum):
     """How far a set-up has come on its leg, in order."""
 
-    NOTHING_LEFT = "nothing has left"
+    NOTHING_SENT = "nothing has left"
     SENT = "NEW has left; the peer has said nothing"
     TOKEN_ASKED = "the peer wants a token, and kept nothing of the NEW"
     TOKEN_SENT = "NEW with the token has left; the peer has said nothing since"
@@ -39,7 +39,7 @@
 
 
 # Stages in which the peer has kept nothing that could run: it said so itself, or no byte has left.
-NEVER_RAN = frozenset({Stage.NOTHING_LEFT, Stage.TOKEN_ASKED, Stage.CHALLENGED})
+NEVER_RAN = frozenset({Stage.NOTHING_SENT, Stage.TOKEN_ASKED, Stage.CHALLENGED})
 
 # What remains where the set-up may have run. UNREACHABLE and UNKNOWN_THERE prove nothing: either may answer a
 # later frame than the one that a process since gone has taken.
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -72,7 +72,7 @@
     ) -> None:
         """`wanted`: may new work still go to this peer? Asked before any frame that starts some."""
         super().__init__(source, now_ms)
-        self.stage = Stage.NOTHING_LEFT
+        self.stage = Stage.NOTHING_SENT
         self._elements = elements.encode()  # sent twice where the peer asks for a token
         self._secret = secret
         self._wanted = wanted
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -41,7 +41,7 @@
 
 
 def test_stages_that_prove_are_those_before_any_work() -> None:
-    assert {Stage.NOTHING_LEFT, Stage.TOKEN_ASKED, Stage.CHALLENGED} == NEVER_RAN
+    assert {Stage.NOTHING_SENT, Stage.TOKEN_ASKED, Stage.CHALLENGED} == NEVER_RAN
 
 
 @pytest.mark.parametrize(
