--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -20,7 +20,7 @@
     TOKEN_SENT = "NEW with the token has left; the peer has said nothing since"
     CHALLENGED = "the peer wants an answer to its challenge first"
     AUTH_SENT = "the answer to the challenge has left"
-    HEARD = "the peer has acknowledged the NEW"
+    ACKNOWLEDGED = "the peer has acknowledged the NEW"
     ACCEPTED = "ACCEPT, RINGING or PROCEEDING came"
     ANSWERED = "ANSWER came"
 
@@ -101,4 +101,4 @@
 
     A repeat is new work for a peer that missed the first, so a drain or the call's end stops it, in every
     stage. Once the peer is known to have it (HEARD and later), none is needed."""
-    return ready and wanted and stage not in (Stage.HEARD, Stage.ACCEPTED, Stage.ANSWERED)
+    return ready and wanted and stage not in (Stage.ACKNOWLEDGED, Stage.ACCEPTED, Stage.ANSWERED)
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -42,17 +42,17 @@
 
 # From which stage to which each word of the peer leads; what has no entry changes nothing.
 MOVES: dict[tuple[Stage, Signal], Stage] = {
-    (Stage.SENT, Signal.ACK): Stage.HEARD,
-    (Stage.TOKEN_SENT, Signal.ACK): Stage.HEARD,
-    (Stage.AUTH_SENT, Signal.ACK): Stage.HEARD,
+    (Stage.SENT, Signal.ACK): Stage.ACKNOWLEDGED,
+    (Stage.TOKEN_SENT, Signal.ACK): Stage.ACKNOWLEDGED,
+    (Stage.AUTH_SENT, Signal.ACK): Stage.ACKNOWLEDGED,
     (Stage.SENT, Signal.TOKEN): Stage.TOKEN_ASKED,
     (Stage.SENT, Signal.CHALLENGE): Stage.CHALLENGED,
     (Stage.TOKEN_SENT, Signal.CHALLENGE): Stage.CHALLENGED,
     # The peer acknowledged the NEW first, and its challenge then shows that it has not begun.
-    (Stage.HEARD, Signal.CHALLENGE): Stage.CHALLENGED,
+    (Stage.ACKNOWLEDGED, Signal.CHALLENGE): Stage.CHALLENGED,
 } | {
     (stage, signal): done
-    for stage in (Stage.SENT, Stage.TOKEN_SENT, Stage.AUTH_SENT, Stage.HEARD, Stage.ACCEPTED)
+    for stage in (Stage.SENT, Stage.TOKEN_SENT, Stage.AUTH_SENT, Stage.ACKNOWLEDGED, Stage.ACCEPTED)
     for signal, done in (
         (Signal.ACCEPT, Stage.ACCEPTED),
         (Signal.PROGRESS, Stage.ACCEPTED),
--- a/tests/iax2/test_decisions.py
+++ b/tests/iax2/test_decisions.py
@@ -50,7 +50,7 @@
      (102, Ending.TIMED_OUT), (41, Ending.ERROR), (16, Ending.ERROR), (0, Ending.ERROR), (255, Ending.ERROR)],
 )  # fmt: skip
 def test_causes_of_a_reject(cause: int, ending: Ending) -> None:
-    assert ending_for_cause(Stage.HEARD, cause) is ending
+    assert ending_for_cause(Stage.ACKNOWLEDGED, cause) is ending
     after_work = ending_for_cause(Stage.ACCEPTED, cause)
     assert after_work not in PROVEN and (ending in PROVEN or after_work is ending)
 
@@ -68,7 +68,7 @@
     if done is None:
         return
     if signal is Signal.CHALLENGE:
-        assert stage in (Stage.SENT, Stage.TOKEN_SENT, Stage.HEARD) and done is Stage.CHALLENGED
+        assert stage in (Stage.SENT, Stage.TOKEN_SENT, Stage.ACKNOWLEDGED) and done is Stage.CHALLENGED
     else:
         assert order.index(done) >= order.index(stage)
     assert stage is not Stage.ANSWERED
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -95,7 +95,7 @@
 def test_a_call_stands_talks_and_ends(secret: str, token: bool) -> None:
     pair = Pair(secret, token=token)
     pair.carry()
-    assert kinds(pair.heard) == [SetUpReceived] and pair.out.stage in (Stage.HEARD, Stage.AUTH_SENT)
+    assert kinds(pair.heard) == [SetUpReceived] and pair.out.stage in (Stage.ACKNOWLEDGED, Stage.AUTH_SENT)
     inside = pair.answer()
     pair.carry()
     assert pair.told == [Answered(b"there", "")]
@@ -153,8 +153,10 @@
 def test_a_peer_that_acknowledges_and_falls_silent_stays_in_doubt() -> None:
     pair = Pair()
     pair.carry()
-    assert pair.out.stage is Stage.HEARD and pair.out.due_ms() == float("inf"), "nothing is repeated"
-    assert pair.out.fail(SetUpFailure.TIMED_OUT, 1000.0) == [Failed(Stage.HEARD, SetUpFailure.TIMED_OUT)]
+    assert pair.out.stage is Stage.ACKNOWLEDGED and pair.out.due_ms() == float("inf"), "nothing is repeated"
+    assert pair.out.fail(SetUpFailure.TIMED_OUT, 1000.0) == [
+        Failed(Stage.ACKNOWLEDGED, SetUpFailure.TIMED_OUT)
+    ]
     pair.carry()
     assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded] and pair.out.is_ended
 
@@ -174,7 +176,7 @@
     assert pair.out.stage.name == "SENT" and kinds(pair.heard) == [SetUpReceived]
     pair.go_on(150.0)  # the NEW is repeated, and is no second set-up
     pair.carry()
-    assert kinds(pair.heard) == [SetUpReceived] and pair.out.stage is Stage.HEARD
+    assert kinds(pair.heard) == [SetUpReceived] and pair.out.stage is Stage.ACKNOWLEDGED
 
 
 def test_answer_and_hang_up_cross() -> None:
@@ -228,13 +230,13 @@
     inside = pair.answer()
     inside.hang_up(16, 1.0)
     last = [one for one in parts(inside) if isinstance(one, FullFrame)][-1]
-    assert pair.out.feed(last, 2.0) == [Failed(Stage.HEARD, SetUpFailure.CUT), LegEnded()]
+    assert pair.out.feed(last, 2.0) == [Failed(Stage.ACKNOWLEDGED, SetUpFailure.CUT), LegEnded()]
 
 
 def test_a_second_challenge_proves_nothing() -> None:
     pair = Pair("s3cret")
     pair.carry()
-    assert pair.out.stage is Stage.HEARD and pair.inside is not None
+    assert pair.out.stage is Stage.ACKNOWLEDGED and pair.inside is not None
     again = Elements([(Element.CHALLENGE, b"x"), (Element.AUTHMETHODS, b"\x00\x02")])
     pair.wanted = False  # its server drains, so that no second answer may leave
     pair.inside.transport.send(FrameType.IAX, Iax.AUTHREQ, again.encode(), 5.0)
@@ -246,7 +248,7 @@
     inval = FullFrame(9, 5, 0, 0, 0, FrameType.IAX, Iax.INVAL)
     pair = Pair()
     pair.carry()
-    assert pair.out.feed(inval, 1.0) == [Failed(Stage.HEARD, SetUpFailure.UNKNOWN_THERE), LegEnded()]
+    assert pair.out.feed(inval, 1.0) == [Failed(Stage.ACKNOWLEDGED, SetUpFailure.UNKNOWN_THERE), LegEnded()]
     pair = Pair()
     pair.carry()
     pair.answer()
