--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -39,7 +39,7 @@
     """The set-up ended without a word of the peer on it."""
 
     stage: Stage
-    end: SetUpFailure
+    failure: SetUpFailure
     reason: str = ""
 
 
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -262,7 +262,7 @@
     assert pair.inside is not None
     pair.inside.answer(4, [(Element.DESCRIPTION, b"\x07x")], 1.0)
     pair.carry()
-    assert isinstance(pair.told[0], Failed) and pair.told[0].end is SetUpFailure.SPOILT
+    assert isinstance(pair.told[0], Failed) and pair.told[0].failure is SetUpFailure.SPOILT
     assert kinds(pair.heard) == [SetUpReceived, HungUp, LegEnded]
 
 
