--- a/pearloom/iax2/element_mapping.py
+++ b/pearloom/iax2/element_mapping.py
@@ -15,7 +15,7 @@
 _CALL_OCTETS = 8
 
 
-def offer_elements(set_up: SetUpAttempt, username: str) -> Pairs:
+def set_up_elements(set_up: SetUpAttempt, username: str) -> Pairs:
     """A set-up as the elements of a NEW; a codec that its caller named is the only one that is offered."""
     offer = set_up.request
     codec = offer.codec or ULAW
@@ -37,7 +37,7 @@
 
 def caller_elements(offer: SetUpRequest, username: str = "") -> Pairs:
     """What a caller says of its call in a NEW: the same, and what is meant for the softswitch alone."""
-    pairs = offer_elements(SetUpAttempt(offer, 0, offer.patience_ms), username)
+    pairs = set_up_elements(SetUpAttempt(offer, 0, offer.patience_ms), username)
     pairs.append((Element.FIRST_CHOICE, offer.first_choice.to_bytes(4, "big", signed=True)))
     if offer.was_cut:
         pairs.append((Element.AGAIN, b"\x01"))
--- a/pearloom/iax2/trunk.py
+++ b/pearloom/iax2/trunk.py
@@ -17,7 +17,7 @@
     ending_for_cause,
     ending_for_failure,
 )
-from pearloom.iax2.element_mapping import offer_elements
+from pearloom.iax2.element_mapping import set_up_elements
 from pearloom.iax2.events import (
     Answered,
     Event,
@@ -119,7 +119,7 @@
             self._attempt_ended(set_up, AttemptError(Progress.CONNECTING, "no call number"))
             return
         placed = _Placed(set_up)
-        elements = Elements(offer_elements(set_up, "pearloom" if self._secret else ""))
+        elements = Elements(set_up_elements(set_up, "pearloom" if self._secret else ""))
         leg = IaxLeg(
             number, elements, self._secret, self.now_ms, lambda: self.is_ready and not placed.given_up
         )
