--- a/pearloom/iax2/element_mapping.py
+++ b/pearloom/iax2/element_mapping.py
@@ -48,7 +48,7 @@
     return int.from_bytes(value[:8], "big")
 
 
-def read_offer(
+def read_set_up(
     elements: Elements, rules: SetUpValidator, default_class: str, mint: str
 ) -> SetUpRequest | str:
     """The set-up in a NEW, or what is wrong with it.
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -22,7 +22,7 @@
     CAUSE_NETWORK_OUT_OF_ORDER,
     CAUSE_TEMPORARY_FAILURE,
 )
-from pearloom.iax2.element_mapping import answer_elements, read_offer, secret_of
+from pearloom.iax2.element_mapping import answer_elements, read_set_up, secret_of
 from pearloom.iax2.events import Event, HungUp, LegEnded, LegLost, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
@@ -243,7 +243,7 @@
 
     def _offered(self, leg: CallerLeg, elements: Elements) -> None:
         exchange = self._exchange
-        offer = read_offer(elements, self._rules, self._settings.default_class, secrets.token_hex(8))
+        offer = read_set_up(elements, self._rules, self._settings.default_class, secrets.token_hex(8))
         if isinstance(offer, str):
             self._counters.add("bad_set_ups")
             log_event(logging.WARNING, "caller_bad_set_up", call="", reason=offer)
