--- a/pearloom/iax2/element_mapping.py
+++ b/pearloom/iax2/element_mapping.py
@@ -89,7 +89,7 @@
     return split_description(description) if description else []
 
 
-def secret_of(elements: Elements, secrets: Mapping[str, str]) -> str | None:
+def find_secret(elements: Elements, secrets: Mapping[str, str]) -> str | None:
     """The secret that this caller has to know; empty where none is set, None where nobody has that name."""
     if not secrets:
         return ""
--- a/pearloom/iax2/listener.py
+++ b/pearloom/iax2/listener.py
@@ -22,7 +22,7 @@
     CAUSE_NETWORK_OUT_OF_ORDER,
     CAUSE_TEMPORARY_FAILURE,
 )
-from pearloom.iax2.element_mapping import answer_elements, read_set_up, secret_of
+from pearloom.iax2.element_mapping import answer_elements, find_secret, read_set_up
 from pearloom.iax2.events import Event, HungUp, LegEnded, LegLost, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import Element, Elements, FullFrame, Iax, MiniFrame, decode, decode_elements
 from pearloom.iax2.in_leg import InLeg
@@ -193,7 +193,7 @@
         self._port.send(answer_without_leg(frame, Iax.CALLTOKEN, elements), source)
 
     def _open(self, frame: FullFrame, source: Address, elements: Elements, token: bytes, now: float) -> None:
-        secret = secret_of(elements, self._settings.secrets)
+        secret = find_secret(elements, self._settings.secrets)
         turned = self._admission.turns(source[0], bool(secret))
         number = self._legs.number() if turned is None and secret is not None else None
         if number is None:
