--- a/benchmarks/guards/iax2.py
+++ b/benchmarks/guards/iax2.py
@@ -17,7 +17,7 @@
     Guard("a repeat asks whether its server drains", "iax2/attempt_endings.py", "return ready and wanted and", "return wanted and",
           (UNITS, f"{FAILURES}::test_a_repeated_new_for_a_server_that_drained_is_new_work_and_does_not_leave")),
     Guard("a NEW is asked for before each repeat", "iax2/transport.py", "not sent.may_repeat()", "False", (TRANSPORT, LEGS)),
-    Guard("silence proves nothing", "iax2/attempt_endings.py", "End.SILENT: Ending.RESET", "End.SILENT: Ending.UNREACHABLE", (UNITS,)),
+    Guard("silence proves nothing", "iax2/attempt_endings.py", "SetUpFailure.SILENT: Ending.RESET", "SetUpFailure.SILENT: Ending.UNREACHABLE", (UNITS,)),
     Guard("no cause proves after work", "iax2/attempt_endings.py", "if stage is Stage.ACCEPTED and", "if False and", (UNITS,)),
     Guard("an attempt given up ends when confirmed", "iax2/trunk.py", "        return None\n\n    def _close", "        return Progress.SENT\n\n    def _close",
           (f"{FAILURES}::test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work",)),
