--- a/pearloom/iax2/__init__.py
+++ b/pearloom/iax2/__init__.py
@@ -1,5 +1,5 @@
-"""IAX2 (RFC 5456) before and behind the exchange: callers' listener, session servers' trunks.
+"""IAX2 (RFC 5456) on both sides of the exchange: the callers' listener and the session servers' trunks.
 
-Others use `listener.Front`, `listener.Fronts`, `trunk.IaxTrunk` and `settings`; the fakes and tests also
-use codec and legs, which have no sockets. See docs/iax2.md.
+Other packages use `listener.IaxListener`, `listener.CallerSides`, `trunk.IaxTrunk` and `settings`; the fakes
+and tests also use the codec and the legs, which have no sockets. See docs/iax2.md.
 """
--- a/pearloom/iax2/challenge.py
+++ b/pearloom/iax2/challenge.py
@@ -1,4 +1,4 @@
-"""How a peer shows that it knows a secret."""
+"""MD5 challenge authentication: proof that a peer knows a shared secret."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def md5_result(challenge: str, secret: str) -> str:
-    """The answer to a challenge (8.6.15): the digest of both, in hex digits."""
+    """Return the answer to a challenge (RFC 5456, 8.6.15): the MD5 of challenge and secret, as hex digits."""
     return hashlib.md5(f"{challenge}{secret}".encode(), usedforsecurity=False).hexdigest()
