--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -1,7 +1,7 @@
-"""What the state of a leg to a session server proves of its set-up, and so what the exchange may do next.
+"""Endings of attempts over IAX2: derived from the stage of the leg and from how the leg ended. No I/O.
 
-Guards against a second attempt beside one that may be at work, and against new work for a server that
-drains: over UDP silence proves nothing, and a NEW that was sent once may arrive late. Pure: no I/O.
+Guards against a second attempt while the first may still be running, and against new work for a server that
+drains: over UDP silence proves nothing, and a NEW that was sent once may arrive late.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 
 
 class Stage(Enum):
-    """How far a set-up has come on its leg, in order."""
-
-    NOTHING_SENT = "nothing has left"
-    SENT = "NEW has left; the peer has said nothing"
-    TOKEN_ASKED = "the peer wants a token, and kept nothing of the NEW"
-    TOKEN_SENT = "NEW with the token has left; the peer has said nothing since"
-    CHALLENGED = "the peer wants an answer to its challenge first"
-    AUTH_SENT = "the answer to the challenge has left"
+    """Progress of a set-up on its leg, in order."""
+
+    NOTHING_SENT = "nothing has been sent"
+    SENT = "NEW has been sent; the peer has not replied"
+    TOKEN_ASKED = "the peer asked for a token, and stored nothing of the NEW"
+    TOKEN_SENT = "NEW with the token has been sent; the peer has not replied since"
+    CHALLENGED = "the peer asked for an answer to its challenge before any work"
+    AUTH_SENT = "the answer to the challenge has been sent"
     ACKNOWLEDGED = "the peer has acknowledged the NEW"
-    ACCEPTED = "ACCEPT, RINGING or PROCEEDING came"
-    ANSWERED = "ANSWER came"
+    ACCEPTED = "ACCEPT, RINGING or PROCEEDING was received"
+    ANSWERED = "ANSWER was received"
 
 
 class SetUpFailure(Enum):
-    """What ends a set-up's leg without an answer, but for a cause that the peer names."""
+    """Why a set-up ended without an answer and without a cause from the peer; the names are logged."""
 
-    WITHDRAWN = "its server may get no new set-up"
-    TIMED_OUT = "the time for its answer is over"
-    CANCELLED = "the call does not want it any more"
-    SILENT = "the peer confirmed nothing after all repeats"
+    WITHDRAWN = "its server may not get new set-ups"
+    TIMED_OUT = "the time limit for its answer has passed"
+    CANCELLED = "the call no longer needs it"
+    SILENT = "the peer acknowledged nothing after all retransmissions"
     UNKNOWN_THERE = "INVAL: the peer does not know the leg"
-    UNREACHABLE = "the peer's machine says that nobody listens"
-    SPOILT = "what the peer sent can't be used"
-    CUT = "the peer hung up, and a frame before that is missing: it may have been an answer"
+    UNREACHABLE = "the peer's machine reports that the port is closed"
+    SPOILT = "the peer sent a malformed or unusable frame"
+    CUT = "the peer hung up, and a missing earlier frame may have been an answer"
 
 
-# Stages in which the peer has kept nothing that could run: it said so itself, or no byte has left.
+# Stages in which the peer has nothing that could run: it said so itself, or nothing has been sent.
 NEVER_RAN = frozenset({Stage.NOTHING_SENT, Stage.TOKEN_ASKED, Stage.CHALLENGED})
 
-# What remains where the set-up may have run. UNREACHABLE and UNKNOWN_THERE prove nothing: either may answer a
-# later frame than the one that a process since gone has taken.
-_DOUBT = {
+# Endings where the set-up may have run. UNREACHABLE and UNKNOWN_THERE prove nothing: either may answer a
+# later frame than the one that a process that has ended since then received.
+_UNCERTAIN = {
     SetUpFailure.WITHDRAWN: Ending.RESET,
     SetUpFailure.TIMED_OUT: Ending.TIMED_OUT,
     SetUpFailure.CANCELLED: Ending.CANCELLED,
@@ -53,8 +53,8 @@
     SetUpFailure.SPOILT: Ending.RESET,
     SetUpFailure.CUT: Ending.RESET,
 }
-# The same where it never ran: it was not sent, or the one it was for is not there.
-_PROVEN = {end: Ending.NOT_SENT for end in SetUpFailure} | {
+# Endings where the set-up never ran: it was not sent, or its server is not there.
+_NEVER_RAN = {end: Ending.NOT_SENT for end in SetUpFailure} | {
     SetUpFailure.SILENT: Ending.UNREACHABLE,
     SetUpFailure.UNKNOWN_THERE: Ending.UNREACHABLE,
     SetUpFailure.UNREACHABLE: Ending.UNREACHABLE,
@@ -63,13 +63,15 @@
 
 
 def ending_for_failure(stage: Stage, end: SetUpFailure) -> Ending:
-    """The ending that a leg's end stands for. An ANSWERED leg has no such end: its call stands."""
+    """Return the attempt's ending for a leg that failed in this stage.
+
+    Raises ValueError for an ANSWERED leg, whose call is established."""
     if stage is Stage.ANSWERED:
-        raise ValueError("an answered set-up has ended well")
-    return (_PROVEN if stage in NEVER_RAN else _DOUBT)[end]
+        raise ValueError("an answered set-up has not failed")
+    return (_NEVER_RAN if stage in NEVER_RAN else _UNCERTAIN)[end]
 
 
-# Q.931 causes in REJECT and HANGUP. Only what says that the call was turned away before any work proves it.
+# Q.931 causes in REJECT and HANGUP. Only causes that mean rejection before any work prove that nothing ran.
 CAUSE_NORMAL = 16
 CAUSE_OUT_OF_ORDER = 27
 CAUSE_NO_CIRCUIT = 34
@@ -87,9 +89,9 @@
 
 
 def ending_for_cause(stage: Stage, cause: int) -> Ending:
-    """What a REJECT (or a HANGUP before any ANSWER) with this cause proves.
+    """Return the attempt's ending for a REJECT, or a HANGUP before any ANSWER, with this cause.
 
-    After ACCEPT the peer has been at work, so no cause proves that the call never ran."""
+    After ACCEPT the peer has started work, so no cause proves that the set-up never ran."""
     ending = _REJECTED.get(cause, Ending.ERROR)
     if stage is Stage.ACCEPTED and ending in (Ending.FULL, Ending.NOT_SENT):
         return Ending.RESET
@@ -97,8 +99,9 @@
 
 
 def may_send(stage: Stage, ready: bool, wanted: bool) -> bool:
-    """May a frame that starts work leave, or leave again: NEW, NEW with a token, AUTHREP?
+    """Return whether a frame that starts work (NEW, NEW with a token, AUTHREP) may be sent or retransmitted.
 
-    A repeat is new work for a peer that missed the first, so a drain or the call's end stops it, in every
-    stage. Once the peer is known to have it (HEARD and later), none is needed."""
+    A retransmission is new work for a peer that missed the first frame, so the drain of its server (not
+    `ready`) or the end of the call (not `wanted`) stops it in every stage. Once the peer is known to have the
+    set-up (ACKNOWLEDGED and later), no retransmission is needed."""
     return ready and wanted and stage not in (Stage.ACKNOWLEDGED, Stage.ACCEPTED, Stage.ANSWERED)
--- a/pearloom/iax2/events.py
+++ b/pearloom/iax2/events.py
@@ -1,4 +1,4 @@
-"""What a leg tells its host."""
+"""Events that a leg reports to its owner."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Progressed:
-    """The set-up has come further; it means nothing to the call."""
+    """The set-up has progressed, without consequence for the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The call stands; the description is None where the peer sent none."""
+    """The peer answered; the description is None if the ANSWER contained none."""
 
     description: bytes | None
     circuits: str
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The peer turned the set-up away, or hung up before any answer, in this stage."""
+    """The peer sent REJECT, or HANGUP before any answer, in this stage."""
 
     stage: Stage
     cause: int
-    why: str
+    reason: str
     circuits: str
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The set-up ended without a word of the peer on it."""
+    """The set-up ended without a cause from the peer."""
 
     stage: Stage
     failure: SetUpFailure
@@ -45,35 +45,35 @@
 
 @dataclass(frozen=True, slots=True)
 class HungUp:
-    """The peer ended the leg."""
+    """The peer sent HANGUP."""
 
     cause: int
 
 
 @dataclass(frozen=True, slots=True)
 class LegLost:
-    """The leg of a call that stands is no more, without a HANGUP."""
+    """The leg of an established call was lost without a HANGUP."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetUpReceived:
-    """A set-up that may be placed: its caller has shown what was asked of it."""
+    """A set-up from a caller that has passed the token check and any challenge."""
 
     elements: Elements
 
 
 @dataclass(frozen=True, slots=True)
 class MediaReceived:
-    """Something of the standing call to be passed on."""
+    """Media of the established call to be relayed."""
 
     media: Media
 
 
 @dataclass(frozen=True, slots=True)
 class LegEnded:
-    """Nothing more is to come or to be sent; the call number may rest."""
+    """The leg has ended: nothing more is sent or accepted, and its call number may be released."""
 
 
 Event = (
--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -1,12 +1,12 @@
-"""Codec of IAX2 frames and information elements: bytes in, values out (RFC 5456, sections 8.1 to 8.7).
+"""Codec of IAX2 frames and information elements (RFC 5456, sections 8.1 to 8.7).
 
     full   = 1 source:15 R destination:15 timestamp:32 oseqno:8 iseqno:8 type:8 C subclass:7 data
     mini   = 0 source:15 timestamp:16 data
     meta   = 0:16 V command:7 command data:8 timestamp:32 entries
     element = code:8 length:8 value
 
-Nothing here has state. What the format does not allow is a `Malformed` value with its reason; elements that
-are not known are kept under their number, and whoever reads a frame skips them.
+The functions are stateless. For bytes that the format does not allow they return `Malformed` with a reason.
+Unknown elements are kept under their number, and readers of a frame skip them.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 from pearloom.core.errors import Malformed
 
-MAX_DATAGRAM_BYTES = 16 * 1024  # of one datagram: a description of 15 KiB and its headers
-CALL_NUMBERS = 1 << 15  # of which 0 stands for none
+MAX_DATAGRAM_BYTES = 16 * 1024  # a description of 15 KiB and its headers
+CALL_NUMBERS = 1 << 15  # 0 means no call number
 VERSION = 2
 _FULL = struct.Struct(">HHIBBBB")
 _MINI = struct.Struct(">HH")
 _META = struct.Struct(">HBBI")
-_PAIR = struct.Struct(">HH")
-_HIGH = 0x8000
-_LOW = 0x7FFF
-_SHIFTED = 0x80  # the subclass is a power of two
-_TRUNK = 1  # the one meta command that there is
-_STAMPED = 1  # its entries carry a timestamp each
-MAX_ELEMENT_OCTETS = 255  # octets of one element
+_META_ENTRY = struct.Struct(">HH")
+_FLAG_BIT = 0x8000
+_NUMBER_MASK = 0x7FFF
+_POWER_FLAG = 0x80  # C bit: the subclass is a power of two
+_META_TRUNK = 1  # the only meta command that RFC 5456 defines
+_HAS_TIMESTAMPS = 1  # flag: each entry has its own timestamp
+MAX_ELEMENT_OCTETS = 255  # value of one element
 
 
 class FrameType(IntEnum):
@@ -85,14 +85,14 @@
     CALLTOKEN = 40
 
 
-# Frames outside the order of a leg: they take no sequence number and are never repeated (7.1).
+# Frames outside the sequence of a leg: they take no sequence number and are never retransmitted (7.1).
 UNNUMBERED = frozenset(
-    int(one) for one in (Iax.ACK, Iax.INVAL, Iax.VNAK, Iax.TXCNT, Iax.TXACC, Iax.CALLTOKEN)
+    int(member) for member in (Iax.ACK, Iax.INVAL, Iax.VNAK, Iax.TXCNT, Iax.TXACC, Iax.CALLTOKEN)
 )
 
 
 class Element(IntEnum):
-    """Information elements (8.6); those from 0xE0 on are this project's own, see docs/iax2.md."""
+    """Information elements (8.6); those from 0xE0 on are extensions, see docs/iax2.md."""
 
     CALLED_NUMBER = 0x01
     CALLED_CONTEXT = 0x05
@@ -119,13 +119,13 @@
 AUTH_MD5 = 2
 
 
-@dataclass(slots=True)  # not frozen: those are twice as dear to make
+@dataclass(slots=True)  # not frozen: frozen instances cost twice as much to create
 class FullFrame:
-    """A full frame; `subclass` is the value that it stands for, whatever its form on the wire."""
+    """A full frame; `subclass` is the decoded value, whatever its form on the wire."""
 
     source: int
     destination: int
-    timestamp: int  # ms since the leg began, modulo 2**32
+    timestamp: int  # ms since the start of the leg, modulo 2**32
     oseq: int
     iseq: int
     type: int
@@ -135,17 +135,17 @@
 
     @property
     def is_numbered(self) -> bool:
-        """Does it take a place in its leg's order?"""
+        """Whether the frame takes a sequence number of its leg."""
         return self.type != FrameType.IAX or self.subclass not in UNNUMBERED
 
     def is_iax(self, subclass: Iax) -> bool:
-        """Is it this IAX frame?"""
+        """Return whether this is the IAX frame with this subclass."""
         return self.type == FrameType.IAX and self.subclass == subclass
 
 
 @dataclass(slots=True)
 class MiniFrame:
-    """Voice in the codec of the last full voice frame; the low 16 bits of its time."""
+    """A mini frame: voice in the codec of the last full voice frame, with a 16-bit timestamp."""
 
     source: int
     timestamp: int
@@ -153,149 +153,148 @@
 
 
 def encode_full(frame: FullFrame) -> bytes:
-    """The frame's bytes."""
+    """Return the bytes of a full frame; raises ValueError for a subclass that the format can't hold."""
     head = _FULL.pack(
-        _HIGH | frame.source,
-        (_HIGH if frame.is_retransmitted else 0) | frame.destination,
+        _FLAG_BIT | frame.source,
+        (_FLAG_BIT if frame.is_retransmitted else 0) | frame.destination,
         frame.timestamp & 0xFFFFFFFF,
         frame.oseq,
         frame.iseq,
         frame.type,
-        _subclass(frame.subclass),
+        _encode_subclass(frame.subclass),
     )
     return head + frame.data
 
 
 def mark_retransmitted(data: bytes, iseq: int) -> bytes:
-    """The same full frame sent again (7.2.1): the R bit is set, and what has come since is acknowledged."""
+    """Return an encoded full frame for retransmission (7.2.1): with the R bit and the current `iseq`."""
     return b"".join((data[:2], bytes((data[2] | 0x80,)), data[3:9], bytes((iseq,)), data[10:]))
 
 
 def encode_mini(frame: MiniFrame) -> bytes:
-    """The frame's bytes."""
+    """Return the bytes of a mini frame."""
     return _MINI.pack(frame.source, frame.timestamp & 0xFFFF) + frame.data
 
 
-def encode_meta(stamp: int, minis: Iterable[MiniFrame]) -> bytes:
-    """Several mini frames of one peer in one datagram, each with its own time (8.1.3.2)."""
+def encode_meta(timestamp: int, minis: Iterable[MiniFrame]) -> bytes:
+    """Return a meta frame with several mini frames, each with its own timestamp (8.1.3.2)."""
     entries = b"".join(
-        _PAIR.pack(len(mini.data), mini.source) + struct.pack(">H", mini.timestamp & 0xFFFF) + mini.data
+        _META_ENTRY.pack(len(mini.data), mini.source) + struct.pack(">H", mini.timestamp & 0xFFFF) + mini.data
         for mini in minis
     )
-    return _META.pack(0, _TRUNK, _STAMPED, stamp & 0xFFFFFFFF) + entries
+    return _META.pack(0, _META_TRUNK, _HAS_TIMESTAMPS, timestamp & 0xFFFFFFFF) + entries
 
 
-def _subclass(value: int) -> int:
-    if value < _SHIFTED:
+def _encode_subclass(value: int) -> int:
+    if value < _POWER_FLAG:
         return value
     if value & (value - 1):
         raise ValueError(f"subclass {value} is neither below 128 nor a power of two")
-    return _SHIFTED | (value.bit_length() - 1)
+    return _POWER_FLAG | (value.bit_length() - 1)
 
 
 def decode(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
-    """The frames of one datagram: one, or those of a meta frame."""
+    """Return the frames of one datagram: a single frame, or those of a meta frame."""
     if len(data) > MAX_DATAGRAM_BYTES:
         return Malformed("a datagram over 16 KiB", fatal=False)
     if len(data) < _MINI.size:
-        return Malformed(f"{len(data)} bytes", fatal=False)
+        return Malformed(f"a datagram of {len(data)} bytes", fatal=False)
     first = data[0] << 8 | data[1]
-    if first & _HIGH:
-        return _full(data)
+    if first & _FLAG_BIT:
+        return _decode_full(data)
     if first:
         return [MiniFrame(first, data[2] << 8 | data[3], data[_MINI.size :])]
-    return _meta(data)
+    return _decode_meta(data)
 
 
-def _full(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
+def _decode_full(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
     if len(data) < _FULL.size:
         return Malformed("a full frame is cut short", fatal=False)
-    source, destination, stamp, oseq, iseq, kind, subclass = _FULL.unpack_from(data)
-    if not source & _LOW:
+    source, destination, timestamp, oseq, iseq, frame_type, subclass = _FULL.unpack_from(data)
+    if not source & _NUMBER_MASK:
         return Malformed("a full frame without a source call number", fatal=False)
-    if subclass & _SHIFTED:
-        # Guards against a shift that makes a number of thousands of digits.
+    if subclass & _POWER_FLAG:
+        # Guards against a shift that makes a number of dozens of digits: subclasses fit in 64 bits.
         if (power := subclass & 0x7F) > 63:
             return Malformed(f"a subclass of 2**{power}", fatal=False)
         subclass = 1 << power
     return [
         FullFrame(
-            source & _LOW,
-            destination & _LOW,
-            stamp,
+            source & _NUMBER_MASK,
+            destination & _NUMBER_MASK,
+            timestamp,
             oseq,
             iseq,
-            kind,
+            frame_type,
             subclass,
             data[_FULL.size :],
-            bool(destination & _HIGH),
+            bool(destination & _FLAG_BIT),
         )
     ]
 
 
-def _meta(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
+def _decode_meta(data: bytes) -> list[FullFrame | MiniFrame] | Malformed:
     if len(data) < _META.size:
         return Malformed("a meta frame is cut short", fatal=False)
-    _, command, how, stamp = _META.unpack_from(data)
-    if command != _TRUNK:
+    _, command, flags, timestamp = _META.unpack_from(data)
+    if command != _META_TRUNK:
         return Malformed(f"meta command {command}", fatal=False)
     minis: list[FullFrame | MiniFrame] = []
     at = _META.size
     while at < len(data):
-        if len(data) - at < _PAIR.size:
+        if len(data) - at < _META_ENTRY.size:
             return Malformed("a meta entry is cut short", fatal=False)
-        one, other = _PAIR.unpack_from(data, at)
-        at += _PAIR.size
-        if how & _STAMPED:
-            length, source = one, other
+        first, second = _META_ENTRY.unpack_from(data, at)
+        at += _META_ENTRY.size
+        if flags & _HAS_TIMESTAMPS:
+            length, source = first, second
             if len(data) - at < 2:
                 return Malformed("a meta entry is cut short", fatal=False)
-            stamp = data[at] << 8 | data[at + 1]
+            timestamp = data[at] << 8 | data[at + 1]
             at += 2
         else:
-            source, length = one, other
+            source, length = first, second
         if not 0 < source < CALL_NUMBERS or len(data) - at < length:
-            return Malformed("a meta entry that cannot be", fatal=False)
-        minis.append(MiniFrame(source, stamp & 0xFFFF, data[at : at + length]))
+            return Malformed("a meta entry with an invalid call number or length", fatal=False)
+        minis.append(MiniFrame(source, timestamp & 0xFFFF, data[at : at + length]))
         at += length
     return minis
 
 
 class Elements:
-    """The information elements of one frame, in their order; where one came twice, `get` has the last."""
+    """The information elements of one frame, in order; `get` returns the last of several with one code."""
 
     __slots__ = ("_last", "_pairs")
 
     def __init__(self, pairs: Iterable[tuple[int, bytes]] = ()) -> None:
-        """Elements as (code, value)."""
+        """Take the elements as (code, value)."""
         self._pairs = tuple(pairs)
         self._last: dict[int, bytes] | None = None
 
     def __iter__(self) -> Iterator[tuple[int, bytes]]:
-        """(code, value), in order."""
+        """Iterate over (code, value), in order."""
         return iter(self._pairs)
 
     def get(self, code: Element) -> bytes | None:
-        """The value of an element, or None."""
+        """Return the value of an element, or None if it is absent."""
         if self._last is None:
             self._last = dict(self._pairs)
         return self._last.get(code)
 
     def text(self, code: Element) -> str | None:
-        """A text element, or None where it is absent or not ASCII."""
+        """Return a text element, or None if it is absent or not ASCII."""
         value = self.get(code)
         return value.decode("ascii") if value is not None and value.isascii() else None
 
     def number(self, code: Element, octets: int) -> int | None:
-        """An unsigned number of so many octets, or None where it is absent or of another size."""
+        """Return an unsigned number of `octets` octets, or None if it is absent or of another size."""
         value = self.get(code)
         return int.from_bytes(value, "big") if value is not None and len(value) == octets else None
 
     def encode(self) -> bytes:
-        """The elements' bytes."""
+        """Return the bytes of the elements; raises ValueError for a code or a length above 255."""
         out = bytearray()
         for code, value in self._pairs:
-            # Its own guard too: a code or a value of more than 255 raises a ValueError here.
             out.append(code)
             out.append(len(value))
             out += value
@@ -303,7 +302,7 @@
 
 
 def decode_elements(data: bytes) -> Elements | Malformed:
-    """The elements in a frame's data."""
+    """Return the elements in a frame's data."""
     pairs: list[tuple[int, bytes]] = []
     at, size = 0, len(data)
     while at < size:
@@ -316,30 +315,30 @@
     return Elements(pairs)
 
 
-# --- descriptions: longer than one element --------------------------------------------------------------
-_BLOCK = MAX_ELEMENT_OCTETS - 1
+# A description is longer than one element.
+_BLOCK_OCTETS = MAX_ELEMENT_OCTETS - 1
 MAX_DESCRIPTION_BYTES = 15 * 1024
 
 
 def split_description(description: bytes) -> list[tuple[int, bytes]]:
-    """A description as elements: each begins with its place, the first one goes on with the whole length.
+    """Return a description as elements, each with its index in front, the first also with the total length.
 
-    Several elements of one code, told apart by a place in front, are what RFC 5456 does for an OSP token."""
+    RFC 5456 splits an OSP token in the same way: several elements of one code, each with an index."""
     whole = struct.pack(">H", len(description)) + description
     return [
-        (Element.DESCRIPTION, bytes((place,)) + whole[at : at + _BLOCK])
-        for place, at in enumerate(range(0, len(whole), _BLOCK))
+        (Element.DESCRIPTION, bytes((index,)) + whole[at : at + _BLOCK_OCTETS])
+        for index, at in enumerate(range(0, len(whole), _BLOCK_OCTETS))
     ]
 
 
 def join_description(elements: Elements) -> bytes | Malformed | None:
-    """The description that the elements carry; None where they carry none.
+    """Return the description that the elements contain, or None if they contain none.
 
-    Guards against passing on a description of which a part is missing or stands twice."""
+    Guards against passing on a description with a missing or repeated part."""
     blocks = [value for code, value in elements if code == Element.DESCRIPTION]
     if not blocks:
         return None
-    if any(not block or block[0] != place for place, block in enumerate(blocks)):
+    if any(not block or block[0] != index for index, block in enumerate(blocks)):
         return Malformed("parts of a description are missing or out of order", fatal=False)
     whole = b"".join(block[1:] for block in blocks)
     if len(whole) < 2 or len(whole) - 2 != whole[0] << 8 | whole[1] or len(whole) - 2 > MAX_DESCRIPTION_BYTES:
--- a/pearloom/iax2/legs.py
+++ b/pearloom/iax2/legs.py
@@ -1,4 +1,4 @@
-"""The legs of one socket: their call numbers, their timers, and what is sent for them."""
+"""The legs of one socket: their call numbers, timers and outgoing datagrams."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from pearloom.iax2.frames import FrameType, FullFrame, Iax, encode_full
 from pearloom.iax2.leg import Leg
 
-NO_LEG = 0x7FFF  # this side's call number in what is answered without a leg
+NO_LEG = 0x7FFF  # this side's call number in replies that belong to no leg
 L = TypeVar("L", bound=Leg)
 
 
 class Legs(Generic[L]):
-    """Legs by this side's call number, each looked at when it has something to repeat."""
+    """Legs by this side's call number, each with a timer for its retransmissions and timeouts."""
 
     def __init__(
         self,
@@ -25,89 +25,96 @@
         now_ms: Callable[[], float],
         send: Callable[[L, bytes], None],
         on_event: Callable[[L, Event], None],
-        first: int,
+        first_number: int,
     ) -> None:
-        """`first` is the call number that is given out first."""
+        """`first_number` is the first call number to be allocated."""
         self._exchange, self._now_ms = exchange, now_ms
         self._send, self._on_event = send, on_event
-        self._numbers = CallNumbers(first, NO_LEG - 1)
+        self._numbers = CallNumbers(first_number, NO_LEG - 1)
         self._legs: dict[int, L] = {}
-        self._touched: dict[int, L] = {}  # legs with frames taken since the last flush
-        self._timers: dict[int, float] = {}  # by call number: when its timer comes
+        self._touched: dict[int, L] = {}  # legs with frames received since the last flush
+        self._timers: dict[int, float] = {}  # by call number: when its timer expires, ms
 
     def __len__(self) -> int:
-        """How many there are."""
+        """The number of legs."""
         return len(self._legs)
 
     def get(self, number: int) -> L | None:
-        """The leg under this side's call number."""
+        """Return the leg with this side's call number, or None."""
         return self._legs.get(number)
 
     def all(self) -> list[L]:
-        """All legs."""
+        """Return all legs."""
         return list(self._legs.values())
 
-    def number(self) -> int | None:
-        """A call number for a new leg; None where they have run out."""
+    def allocate_number(self) -> int | None:
+        """Return a call number for a new leg, or None if none is free."""
         return self._numbers.allocate(self._now_ms())
 
     def add(self, leg: L) -> None:
-        """Keep a leg until `gone`."""
+        """Add a leg."""
         self._legs[leg.source] = leg
 
-    def gone(self, leg: L) -> None:
-        """It is over: its number rests."""
+    def remove(self, leg: L) -> None:
+        """Remove a leg that has ended, and release its call number."""
         if self._legs.pop(leg.source, None) is not None:
             self._timers.pop(leg.source, None)
             self._numbers.release(leg.source, self._now_ms())
 
-    def ask(self, numbers: Iterable[int]) -> int:
-        """Send a PING on each of these legs that is still there; returns on how many."""
-        asked = [leg for number in numbers if (leg := self._legs.get(number)) is not None]
-        for leg in asked:
+    def ping(self, numbers: Iterable[int]) -> int:
+        """Send a PING on each of these legs that still exists; return their count."""
+        pinged = [leg for number in numbers if (leg := self._legs.get(number)) is not None]
+        for leg in pinged:
             leg.ping(self._now_ms())
             self.flush(leg, [])
-        return len(asked)
+        return len(pinged)
 
-    def took(self, leg: L, events: list[Event]) -> None:
-        """Tell what happened at a frame; what is to be sent for it goes with `flush_all`."""
+    def dispatch(self, leg: L, events: list[Event]) -> None:
+        """Report the events of a received frame; its replies are sent by `flush_all`."""
         self._touched[leg.source] = leg
         for event in events:
             self._on_event(leg, event)
 
     def flush_all(self) -> None:
-        """All that had come has been taken: send what it brought about, one acknowledgement for several."""
+        """Send the replies to all received frames, with one acknowledgement for several."""
         while self._touched:
             self.flush(self._touched.popitem()[1], [])
 
     def flush(self, leg: L, events: list[Event]) -> None:
-        """Tell what happened, send what the leg has to send, and look at it again in time."""
+        """Report events, send the leg's datagrams, and schedule its timer."""
         for event in events:
             self._on_event(leg, event)
         for data in leg.take_datagrams():
             self._send(leg, data)
-        self._arm(leg)
+        self._schedule(leg)
 
-    def _arm(self, leg: L) -> None:
-        due = leg.due_ms()
-        if due < self._timers.get(leg.source, math.inf) and self._legs.get(leg.source) is leg:
-            self._timers[leg.source] = due
-            self._exchange.after_ms(due - self._now_ms(), lambda: self._look(leg, due))
+    def _schedule(self, leg: L) -> None:
+        due_ms = leg.due_ms()
+        if due_ms < self._timers.get(leg.source, math.inf) and self._legs.get(leg.source) is leg:
+            self._timers[leg.source] = due_ms
+            self._exchange.after_ms(due_ms - self._now_ms(), lambda: self._on_timer(leg, due_ms))
 
-    def _look(self, leg: L, due: float) -> None:
-        if self._timers.get(leg.source) == due and self._legs.get(leg.source) is leg:
+    def _on_timer(self, leg: L, due_ms: float) -> None:
+        if self._timers.get(leg.source) == due_ms and self._legs.get(leg.source) is leg:
             del self._timers[leg.source]
             now = self._now_ms()
             if leg.due_ms() <= now:
                 self.flush(leg, leg.tick(now))
             else:
-                self._arm(leg)  # what was due has been confirmed since
+                self._schedule(leg)  # the due frame has been acknowledged since
 
 
-def answer_without_leg(frame: FullFrame, kind: Iax, elements: bytes = b"") -> bytes:
-    """A frame in answer to one that belongs to no leg, from the number that stands for none."""
+def answer_without_leg(frame: FullFrame, subclass: Iax, elements: bytes = b"") -> bytes:
+    """Return a reply to a frame that belongs to no leg, with NO_LEG as this side's call number."""
     return encode_full(
         FullFrame(
-            NO_LEG, frame.source, frame.timestamp, 0, (frame.oseq + 1) & 0xFF, FrameType.IAX, kind, elements
+            NO_LEG,
+            frame.source,
+            frame.timestamp,
+            0,
+            (frame.oseq + 1) & 0xFF,
+            FrameType.IAX,
+            subclass,
+            elements,
         )
     )
--- a/pearloom/iax2/liveness.py
+++ b/pearloom/iax2/liveness.py
@@ -1,8 +1,8 @@
-"""Is the peer at the other end of standing legs still there? Which leg to ask, and when to give up. Pure.
+"""Peer liveness on established legs: which legs to ping, and when to treat the peer as lost. No I/O.
 
-UDP has no connection that breaks: a machine that vanished and one whose processor hangs are alike silent,
-and a process that was restarted answers INVAL to each leg that it is asked about, and only then. Guards
-against calls that stand for nobody: the end of a dead server's calls is owed within 8 s.
+UDP has no connection that breaks. A machine that vanished and one whose processor hangs are both silent, and
+a restarted process answers INVAL for each old leg that it is asked about, and only then. Guards against
+established calls whose peer no longer has them: the calls of a dead server must be released within 8 s.
 """
 
 from __future__ import annotations
@@ -10,84 +10,87 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-QUIET_MS = 1_500.0  # with calls standing, a peer silent for so long is asked on one of its legs
-LOST_MS = 6_500.0  # silence of a peer that owes something: what stands there is over
-EACH_MS = 12_000.0  # each leg is asked at least so often, whatever is heard on others
-AUDIT_MS = 2_000.0  # in which all legs are asked once one of them is not known there any more
-LEAST_A_LOOK = 4  # legs asked at one look while an audit runs
+QUIET_MS = 1_500.0  # a peer with established legs that is silent for this long is pinged on one of them
+PEER_LOST_MS = 6_500.0  # a peer with established legs that is silent for this long has lost them all
+LEG_PING_MS = 12_000.0  # each leg is pinged at least this often, whatever arrives on other legs
+AUDIT_MS = 2_000.0  # time to ping all legs once the peer does not know one of them
+MIN_AUDIT_PINGS = 4  # legs pinged per check during an audit
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """What one look found."""
+class LivenessCheck:
+    """The result of one check."""
 
-    ask: tuple[int, ...] = ()  # legs to be sent a PING
-    lost: bool = False  # nothing there answers any more
+    legs_to_ping: tuple[int, ...] = ()  # call numbers of legs to send a PING on
+    is_lost: bool = False  # the peer no longer answers
 
 
 class Liveness:
-    """The standing legs of one peer, the one heard longest ago first."""
-
-    def __init__(self, now_ms: float, one_peer: bool = True) -> None:
-        """No leg stands. `one_peer`: all legs are one machine's, whose silence ends them all."""
-        self._one_peer = one_peer
-        self._legs: OrderedDict[int, float] = OrderedDict()  # when each was heard or asked last
-        self._heard_ms = now_ms  # when any was heard
-        self._owing_ms = now_ms  # since when anything stands
-        self._asked_ms = now_ms
-        self._audit_from = -1.0  # legs not heard since then are asked first
-        self._looked_ms = now_ms
+    """Established legs in order of their last activity, the oldest first."""
+
+    def __init__(self, now_ms: float, is_single_peer: bool = True) -> None:
+        """Start without legs. `is_single_peer`: all legs lead to one machine, whose silence ends them all."""
+        self._is_single_peer = is_single_peer
+        self._legs: OrderedDict[int, float] = OrderedDict()  # call number: time of its last frame or PING, ms
+        self._received_ms = now_ms  # time of the last frame on any leg
+        self._established_ms = now_ms  # time since which there has been an established leg
+        self._pinged_ms = now_ms
+        # Start of the audit, -1: none; legs without activity since then are pinged first.
+        self._audit_from_ms = -1.0
+        self._checked_ms = now_ms
 
     def __len__(self) -> int:
-        """How many stand."""
+        """The number of established legs."""
         return len(self._legs)
 
-    def stands(self, leg: int, now_ms: float) -> None:
-        """A leg stands from now on."""
+    def add(self, leg: int, now_ms: float) -> None:
+        """Add a leg that has been established."""
         if not self._legs:
-            self._owing_ms = now_ms
+            self._established_ms = now_ms
         self._legs[leg] = now_ms
 
-    def over(self, leg: int) -> None:
-        """It stands no more."""
+    def remove(self, leg: int) -> None:
+        """Remove a leg that is no longer established."""
         self._legs.pop(leg, None)
 
-    def heard(self, leg: int, now_ms: float) -> None:
-        """Something came on a leg."""
-        self._heard_ms = now_ms
+    def record_received(self, leg: int, now_ms: float) -> None:
+        """Record that a frame arrived on a leg."""
+        self._received_ms = now_ms
         if leg in self._legs:
             self._legs[leg] = now_ms
             self._legs.move_to_end(leg)
 
-    def doubted(self, now_ms: float) -> None:
-        """The peer does not know one of its legs any more: it may know none."""
-        if self._audit_from < 0:
-            self._audit_from = now_ms
+    def start_audit(self, now_ms: float) -> None:
+        """Check all legs soon: the peer no longer knows one of its legs and may know none."""
+        if self._audit_from_ms < 0:
+            self._audit_from_ms = now_ms
 
-    def look(self, now_ms: float) -> Look:
-        """Called now and then, some ten times a second."""
-        gone_by, self._looked_ms = now_ms - self._looked_ms, now_ms
+    def check(self, now_ms: float) -> LivenessCheck:
+        """Select the legs to ping and detect a lost peer; called about ten times a second."""
+        elapsed_ms, self._checked_ms = now_ms - self._checked_ms, now_ms
         if not self._legs:
-            self._audit_from = -1.0
-            return Look()
-        if self._one_peer and now_ms - max(self._heard_ms, self._owing_ms) >= LOST_MS:
-            return Look(lost=True)
-        most = int(len(self._legs) * gone_by / (AUDIT_MS if self._audit_from >= 0 else EACH_MS)) + 1
-        if self._audit_from >= 0:
-            most = max(most, LEAST_A_LOOK)
+            self._audit_from_ms = -1.0
+            return LivenessCheck()
+        if self._is_single_peer and now_ms - max(self._received_ms, self._established_ms) >= PEER_LOST_MS:
+            return LivenessCheck(is_lost=True)
+        max_pings = (
+            int(len(self._legs) * elapsed_ms / (AUDIT_MS if self._audit_from_ms >= 0 else LEG_PING_MS)) + 1
+        )
+        if self._audit_from_ms >= 0:
+            max_pings = max(max_pings, MIN_AUDIT_PINGS)
         due: list[int] = []
-        for leg, at in self._legs.items():
-            audited = at < self._audit_from
-            if len(due) >= most or not (audited or now_ms - at >= EACH_MS):
+        for leg, active_ms in self._legs.items():
+            is_audited = active_ms < self._audit_from_ms
+            if len(due) >= max_pings or not (is_audited or now_ms - active_ms >= LEG_PING_MS):
                 break
             due.append(leg)
         if not due:
-            self._audit_from = -1.0
-            quiet = now_ms - max(self._heard_ms, self._owing_ms) >= QUIET_MS
-            if quiet and now_ms - self._asked_ms >= QUIET_MS:
+            self._audit_from_ms = -1.0
+            is_quiet = now_ms - max(self._received_ms, self._established_ms) >= QUIET_MS
+            if is_quiet and now_ms - self._pinged_ms >= QUIET_MS:
                 due.append(next(iter(self._legs)))
         for leg in due:
-            self._asked_ms = now_ms
+            self._pinged_ms = now_ms
             self._legs[leg] = now_ms
             self._legs.move_to_end(leg)
-        return Look(tuple(due))
+        return LivenessCheck(tuple(due))
--- a/pearloom/iax2/media_timestamps.py
+++ b/pearloom/iax2/media_timestamps.py
@@ -1,4 +1,4 @@
-"""The times of what is said on a leg (RFC 5456, 8.1.2): whole ones from those of mini frames, and back."""
+"""Media timestamps of one leg (RFC 5456, 8.1.2): 32-bit ones from the 16 bits of mini frames, and back."""
 
 from __future__ import annotations
 
@@ -8,40 +8,45 @@
     MiniFrame,
 )
 
-MINI_SPAN = 1 << 16  # ms that a mini frame's time tells apart
+MINI_TIMESTAMP_RANGE_MS = 1 << 16  # the range of a mini frame's 16-bit timestamp
 
 
-class Speech:
-    """What is said on a leg: whole times of mini frames, and the full frame that each stretch begins with."""
+class MediaTimestamps:
+    """Restores the timestamps of received mini frames, and decides which voice needs a full frame."""
 
     def __init__(self) -> None:
-        """Nothing has been said."""
+        """Start without a codec in either direction."""
         self._codec_in = self._codec_out = 0
-        self._stamp_in = 0
-        self._stamp_out = 0
-        self._shift: int | None = None
+        self._timestamp_in = 0
+        self._timestamp_out = 0
+        self._offset_ms: int | None = None
 
-    def full_in(self, frame: FullFrame) -> Media:
-        """A full frame of voice came."""
-        self._codec_in, self._stamp_in = frame.subclass, frame.timestamp
+    def receive_full(self, frame: FullFrame) -> Media:
+        """Return the voice of a full frame, whose codec and time hold for the mini frames that follow."""
+        self._codec_in, self._timestamp_in = frame.subclass, frame.timestamp
         return Media(MediaKind.VOICE, frame.subclass, frame.timestamp, frame.data)
 
-    def mini_in(self, frame: MiniFrame) -> Media | None:
-        """Guards against voice whose codec nobody has told, and against a leap where 16 bits wrap."""
+    def receive_mini(self, frame: MiniFrame) -> Media | None:
+        """Return the voice of a mini frame with its full timestamp, or None before any full frame.
+
+        Guards against voice of an unknown codec, and against a time jump where the 16 bits wrap."""
         if not self._codec_in:
             return None
-        step = (frame.timestamp - self._stamp_in) % MINI_SPAN
-        if step >= MINI_SPAN // 2:
-            step -= MINI_SPAN  # late, not early by a minute
-        stamp = max(self._stamp_in + step, 0)
-        self._stamp_in = max(stamp, self._stamp_in)
-        return Media(MediaKind.VOICE, self._codec_in, stamp, frame.data)
-
-    def place(self, media: Media, now: int) -> tuple[int, bool]:
-        """This leg's time for a piece that has another leg's, and whether it goes as a full frame."""
-        if self._shift is None:
-            self._shift = now - media.timestamp_ms
-        stamp = max(media.timestamp_ms + self._shift, 0)
-        whole = media.codec != self._codec_out or stamp // MINI_SPAN != self._stamp_out // MINI_SPAN
-        self._codec_out, self._stamp_out = media.codec, stamp
-        return stamp, whole
+        step = (frame.timestamp - self._timestamp_in) % MINI_TIMESTAMP_RANGE_MS
+        if step >= MINI_TIMESTAMP_RANGE_MS // 2:
+            step -= MINI_TIMESTAMP_RANGE_MS  # an earlier frame that arrives late, not one from a minute ahead
+        timestamp = max(self._timestamp_in + step, 0)
+        self._timestamp_in = max(timestamp, self._timestamp_in)
+        return Media(MediaKind.VOICE, self._codec_in, timestamp, frame.data)
+
+    def to_leg_time(self, media: Media, now_ms: int) -> tuple[int, bool]:
+        """Return this leg's timestamp for media from another leg, and whether it needs a full frame."""
+        if self._offset_ms is None:
+            self._offset_ms = now_ms - media.timestamp_ms
+        timestamp = max(media.timestamp_ms + self._offset_ms, 0)
+        needs_full_frame = (
+            media.codec != self._codec_out
+            or timestamp // MINI_TIMESTAMP_RANGE_MS != self._timestamp_out // MINI_TIMESTAMP_RANGE_MS
+        )
+        self._codec_out, self._timestamp_out = media.codec, timestamp
+        return timestamp, needs_full_frame
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -1,4 +1,4 @@
-"""The leg of a call that this side places. Which frame moves which stage stands in `MOVES` (docs/iax2.md)."""
+"""Outgoing leg: a call that this side places. `TRANSITIONS` lists its stages (docs/iax2.md)."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Signal(Enum):
-    """What a peer that was called may say, beside the end of the leg."""
+    """What the called peer may signal, apart from the end of the leg."""
 
     ACK = "ACK"
     TOKEN = "CALLTOKEN"
@@ -40,20 +40,20 @@
     ANSWER = "ANSWER"
 
 
-# From which stage to which each word of the peer leads; what has no entry changes nothing.
-MOVES: dict[tuple[Stage, Signal], Stage] = {
+# The next stage for each stage and signal; a pair without an entry changes nothing.
+TRANSITIONS: dict[tuple[Stage, Signal], Stage] = {
     (Stage.SENT, Signal.ACK): Stage.ACKNOWLEDGED,
     (Stage.TOKEN_SENT, Signal.ACK): Stage.ACKNOWLEDGED,
     (Stage.AUTH_SENT, Signal.ACK): Stage.ACKNOWLEDGED,
     (Stage.SENT, Signal.TOKEN): Stage.TOKEN_ASKED,
     (Stage.SENT, Signal.CHALLENGE): Stage.CHALLENGED,
     (Stage.TOKEN_SENT, Signal.CHALLENGE): Stage.CHALLENGED,
-    # The peer acknowledged the NEW first, and its challenge then shows that it has not begun.
+    # The peer acknowledged the NEW first; its challenge shows that it has not started work.
     (Stage.ACKNOWLEDGED, Signal.CHALLENGE): Stage.CHALLENGED,
 } | {
-    (stage, signal): done
+    (stage, signal): target
     for stage in (Stage.SENT, Stage.TOKEN_SENT, Stage.AUTH_SENT, Stage.ACKNOWLEDGED, Stage.ACCEPTED)
-    for signal, done in (
+    for signal, target in (
         (Signal.ACCEPT, Stage.ACCEPTED),
         (Signal.PROGRESS, Stage.ACCEPTED),
         (Signal.ANSWER, Stage.ANSWERED),
@@ -61,84 +61,88 @@
 }
 
 
-_UNHEARD = tuple(stage for stage, signal in MOVES if signal is Signal.ACK)
+_AWAITING_ACK = tuple(stage for stage, signal in TRANSITIONS if signal is Signal.ACK)
 
 
 class OutLeg(Leg):
-    """A leg on which this side places a call."""
+    """A leg that this side opens with a NEW."""
 
     def __init__(
-        self, source: int, elements: Elements, secret: str, now_ms: float, wanted: Callable[[], bool]
+        self, source: int, elements: Elements, secret: str, now_ms: float, is_wanted: Callable[[], bool]
     ) -> None:
-        """`wanted`: may new work still go to this peer? Asked before any frame that starts some."""
+        """`is_wanted` is called before each frame that starts work: may the peer get new work?"""
         super().__init__(source, now_ms)
         self.stage = Stage.NOTHING_SENT
-        self._elements = elements.encode()  # sent twice where the peer asks for a token
+        self._elements = elements.encode()  # sent again if the peer asks for a token
         self._secret = secret
-        self._wanted = wanted
-        self._challenged = False
+        self._is_wanted = is_wanted
+        self._was_challenged = False
 
     def start(self, now_ms: float) -> None:
-        """Send NEW, ready to bring a token back."""
-        self._new(b"", Stage.SENT, now_ms)
+        """Send NEW with an empty CALLTOKEN, which says that this side supports call tokens."""
+        self._send_new(b"", Stage.SENT, now_ms)
 
-    def _new(self, token: bytes, stage: Stage, now_ms: float) -> None:
+    def _send_new(self, token: bytes, stage: Stage, now_ms: float) -> None:
         data = self._elements + Elements([(Element.CALLTOKEN, token)]).encode()
-        self._begin(Iax.NEW, data, stage, now_ms)
+        self._send_work(Iax.NEW, data, stage, now_ms)
 
-    def _begin(self, kind: Iax, data: bytes, stage: Stage, now_ms: float) -> None:
-        """Send a frame that starts work, unless its server's drain or the call's end stops it."""
+    def _send_work(self, subclass: Iax, data: bytes, stage: Stage, now_ms: float) -> None:
+        """Send a frame that starts work, unless the peer may get no new work."""
         if not self._may_send():
-            self._fail(SetUpFailure.WITHDRAWN, now_ms, "not wanted any more")
+            self._fail(SetUpFailure.WITHDRAWN, now_ms, "no longer wanted")
             return
         self.stage = stage
-        self.transport.send(FrameType.IAX, kind, data, now_ms, self._may_send)
+        self.transport.send(FrameType.IAX, subclass, data, now_ms, self._may_send)
 
     def _may_send(self) -> bool:
-        return may_send(self.stage, self._wanted(), not self.is_closing)
+        return may_send(self.stage, self._is_wanted(), not self.is_closing)
 
     @property
     def never_ran(self) -> bool:
-        """Is it proven that nothing runs of this set-up?"""
+        """Whether it is certain that the peer has not started this set-up."""
         return self.stage in NEVER_RAN
 
-    def _move(self, signal: Signal) -> bool:
-        done = None if self.is_closing else MOVES.get((self.stage, signal))
-        if done is None:
+    def _transition(self, signal: Signal) -> bool:
+        target = None if self.is_closing else TRANSITIONS.get((self.stage, signal))
+        if target is None:
             return False
-        self.stage = done
+        self.stage = target
         return True
 
-    def _full(self, frame: FullFrame, now_ms: float) -> None:
-        before = self.transport.unconfirmed
-        super()._full(frame, now_ms)
-        if self.transport.unconfirmed < before and self.stage in _UNHEARD and not frame.is_iax(Iax.CALLTOKEN):
-            self._move(Signal.ACK)
-
-    def _unnumbered(self, frame: FullFrame, now_ms: float) -> None:
-        if frame.is_iax(Iax.CALLTOKEN) and self._move(Signal.TOKEN):
+    def _receive_full(self, frame: FullFrame, now_ms: float) -> None:
+        pending_before = self.transport.unacknowledged
+        super()._receive_full(frame, now_ms)
+        if (
+            self.transport.unacknowledged < pending_before
+            and self.stage in _AWAITING_ACK
+            and not frame.is_iax(Iax.CALLTOKEN)
+        ):
+            self._transition(Signal.ACK)
+
+    def _receive_unnumbered(self, frame: FullFrame, now_ms: float) -> None:
+        if frame.is_iax(Iax.CALLTOKEN) and self._transition(Signal.TOKEN):
             elements = decode_elements(frame.data)
             token = None if isinstance(elements, Malformed) else elements.get(Element.CALLTOKEN)
             if not token:
                 self._fail(SetUpFailure.SPOILT, now_ms, "a CALLTOKEN without a token")
                 return
             self.transport.restart()
-            self._new(token, Stage.TOKEN_SENT, now_ms)
+            self._send_new(token, Stage.TOKEN_SENT, now_ms)
 
-    def _own(self, frame: FullFrame, now_ms: float) -> bool:
+    def _receive_own_iax(self, frame: FullFrame, now_ms: float) -> bool:
         if frame.subclass == Iax.AUTHREQ:
-            self._challenge(frame, now_ms)
+            self._answer_challenge(frame, now_ms)
         elif frame.subclass == Iax.ACCEPT:
-            self._move(Signal.ACCEPT)
+            self._transition(Signal.ACCEPT)
         else:
             return False
         return True
 
-    def _challenge(self, frame: FullFrame, now_ms: float) -> None:
-        # Guards against a peer that challenges without end, each time with a proof that nothing has begun.
-        if self._challenged or not self._move(Signal.CHALLENGE):
+    def _answer_challenge(self, frame: FullFrame, now_ms: float) -> None:
+        # Guards against endless challenges, each of which would count as proof that no work has started.
+        if self._was_challenged or not self._transition(Signal.CHALLENGE):
             return
-        self._challenged = True
+        self._was_challenged = True
         elements = decode_elements(frame.data)
         challenge = None if isinstance(elements, Malformed) else elements.text(Element.CHALLENGE)
         methods = 0 if isinstance(elements, Malformed) else elements.number(Element.AUTHMETHODS, 2) or 0
@@ -146,62 +150,62 @@
             self._fail(SetUpFailure.SPOILT, now_ms, "a challenge that can't be answered")
             return
         result = Elements([(Element.MD5_RESULT, md5_result(challenge, self._secret).encode())])
-        self._begin(Iax.AUTHREP, result.encode(), Stage.AUTH_SENT, now_ms)
+        self._send_work(Iax.AUTHREP, result.encode(), Stage.AUTH_SENT, now_ms)
 
-    def _control(self, frame: FullFrame, now_ms: float) -> None:
+    def _receive_control(self, frame: FullFrame, now_ms: float) -> None:
         match frame.subclass:
             case Control.ANSWER:
-                self._answer(frame, now_ms)
+                self._receive_answer(frame, now_ms)
             case Control.RINGING | Control.PROGRESS | Control.PROCEEDING:
-                self._move(Signal.PROGRESS)
+                self._transition(Signal.PROGRESS)
             case Control.HANGUP | Control.BUSY | Control.CONGESTION if not self.is_closing:
-                # Their causes come with the HANGUP that follows.
-                self._move(Signal.PROGRESS)
+                # The cause comes with the HANGUP that follows.
+                self._transition(Signal.PROGRESS)
 
-    def _answer(self, frame: FullFrame, now_ms: float) -> None:
+    def _receive_answer(self, frame: FullFrame, now_ms: float) -> None:
         stage = self.stage
-        if not self._move(Signal.ANSWER):
-            return  # a second one, or one that crossed this side's HANGUP, changes nothing
+        if not self._transition(Signal.ANSWER):
+            return  # a repeated answer, or one that crossed this side's HANGUP
         elements = decode_elements(frame.data)
         description = elements if isinstance(elements, Malformed) else join_description(elements)
         if isinstance(elements, Malformed) or isinstance(description, Malformed):
-            # Guards against passing on what is not as the server made it.
+            # Guards against passing on a malformed description.
             self.stage = stage
             self._fail(SetUpFailure.SPOILT, now_ms, getattr(description, "reason", "malformed"))
             return
         self._events.append(Answered(description, elements.text(Element.CIRCUITS) or ""))
 
-    def _hung_up(self, cause: int, elements: Elements, early: bool) -> None:
+    def _on_peer_hang_up(self, cause: int, elements: Elements, has_gap: bool) -> None:
         if self.stage is Stage.ANSWERED:
             self._events.append(HungUp(cause))
             return
-        if early:
-            # Guards against taking a call that stood for a moment for one that was turned away.
+        if has_gap:
+            # Guards against treating a call that was answered for a moment as a rejected one.
             self._events.append(Failed(self.stage, SetUpFailure.CUT))
             return
-        why = elements.text(Element.CAUSE) or ""
+        reason = elements.text(Element.CAUSE) or ""
         circuits = elements.text(Element.CIRCUITS) or ""
-        self._events.append(Rejected(self.stage, cause, why, circuits))
+        self._events.append(Rejected(self.stage, cause, reason, circuits))
 
-    def _unknown_there(self, now_ms: float) -> None:
+    def _on_inval(self, now_ms: float) -> None:
         if self.stage is Stage.ANSWERED:
-            super()._unknown_there(now_ms)
+            super()._on_inval(now_ms)
         else:
             self._events.append(Failed(self.stage, SetUpFailure.UNKNOWN_THERE))
             self._end()
 
-    def _given_up(self, now_ms: float) -> None:
+    def _on_delivery_failure(self, now_ms: float) -> None:
         if self.stage is Stage.ANSWERED:
-            super()._given_up(now_ms)
+            super()._on_delivery_failure(now_ms)
         else:
             self._fail(SetUpFailure.WITHDRAWN if self.transport.stopped else SetUpFailure.SILENT, now_ms, "")
 
-    def fail(self, end: SetUpFailure, now_ms: float) -> list[Event]:
-        """End the set-up for a reason that this side has; nothing where it is over or has its answer."""
+    def fail(self, failure: SetUpFailure, now_ms: float) -> list[Event]:
+        """End the set-up for a local reason; no effect once it has ended or been answered."""
         if not self.is_ended and not self.is_closing and self.stage is not Stage.ANSWERED:
-            self._fail(end, now_ms, "")
-        return self._taken()
+            self._fail(failure, now_ms, "")
+        return self._take_events()
 
-    def _fail(self, end: SetUpFailure, now_ms: float, reason: str) -> None:
-        self._events.append(Failed(self.stage, end, reason))
+    def _fail(self, failure: SetUpFailure, now_ms: float, reason: str) -> None:
+        self._events.append(Failed(self.stage, failure, reason))
         self.hang_up(CAUSE_NORMAL, now_ms)
--- a/tests/iax2/test_legs.py
+++ b/tests/iax2/test_legs.py
@@ -134,7 +134,7 @@
         pair.bring(True, frame)
     pair.carry()
     stage = Stage.TOKEN_ASKED if token else Stage.CHALLENGED
-    assert pair.told[0] == Failed(stage, SetUpFailure.WITHDRAWN, "not wanted any more")
+    assert pair.told[0] == Failed(stage, SetUpFailure.WITHDRAWN, "no longer wanted")
     assert SetUpReceived not in kinds(pair.heard)
 
 
--- a/tests/iax2/test_transport.py
+++ b/tests/iax2/test_transport.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from pearloom.iax2.frames import FrameType, FullFrame, Iax, decode
-from pearloom.iax2.transport import MOST_TRIES, MOST_UNCONFIRMED, Transport, Verdict
+from pearloom.iax2.transport import MAX_TRIES, MAX_UNACKNOWLEDGED, Transport, Verdict
 
 
 def frames(transport: Transport) -> list[FullFrame]:
-    return [one for data in transport.take() for one in decode(data) if isinstance(one, FullFrame)]  # type: ignore[union-attr]
+    return [one for data in transport.take_datagrams() for one in decode(data) if isinstance(one, FullFrame)]  # type: ignore[union-attr]
 
 
 def text(transport: Transport, word: bytes, now: float) -> bool:
@@ -30,26 +30,26 @@
         now = one.due_ms()
         one.tick(now)
         times.append(now)
-    assert len(times) == MOST_TRIES
+    assert len(times) == MAX_TRIES
     gaps = [later - sooner for sooner, later in pairwise(times)]
     assert gaps == sorted(gaps) and gaps[-1] > 2 * gaps[0]
     sent = frames(one)
-    assert [frame.is_retransmitted for frame in sent] == [False] + [True] * (MOST_TRIES - 1)
+    assert [frame.is_retransmitted for frame in sent] == [False] + [True] * (MAX_TRIES - 1)
     assert {frame.oseq for frame in sent} == {0}
     for frame in sent:
-        other.heard(frame, now)
-    other.reply(Iax.ACK, sent[0].timestamp)
+        other.receive(frame, now)
+    other.send_unnumbered(Iax.ACK, sent[0].timestamp)
     for frame in frames(other):
-        one.heard(frame, now)
-    assert one.unconfirmed == 0 and one.due_ms() == float("inf")
+        one.receive(frame, now)
+    assert one.unacknowledged == 0 and one.due_ms() == float("inf")
 
 
 def test_a_copy_is_acknowledged_and_not_taken_again() -> None:
     one, other = Transport(1, 0.0, 2), Transport(2, 0.0, 1)
     text(one, b"a", 0.0)
     (frame,) = frames(one)
-    assert other.heard(frame, 1.0) is Verdict.TAKE
-    assert other.heard(frame, 2.0) is Verdict.AGAIN
+    assert other.receive(frame, 1.0) is Verdict.ACCEPT
+    assert other.receive(frame, 2.0) is Verdict.DUPLICATE
     assert [reply.subclass for reply in frames(other)] == [Iax.ACK]
 
 
@@ -58,13 +58,16 @@
     for word in (b"a", b"b", b"c"):
         text(one, word, 0.0)
     first, second, third = frames(one)
-    assert other.heard(second, 1.0) is Verdict.EARLY and other.heard(third, 1.0) is Verdict.EARLY
+    assert (
+        other.receive(second, 1.0) is Verdict.OUT_OF_ORDER
+        and other.receive(third, 1.0) is Verdict.OUT_OF_ORDER
+    )
     (asked,) = frames(other)
     assert asked.is_iax(Iax.VNAK)
-    one.heard(asked, 2.0)
+    one.receive(asked, 2.0)
     again = frames(one)
     assert [frame.data for frame in again] == [b"a", b"b", b"c"]
-    assert [other.heard(frame, 3.0) for frame in (first, *again[1:])] == [Verdict.TAKE] * 3
+    assert [other.receive(frame, 3.0) for frame in (first, *again[1:])] == [Verdict.ACCEPT] * 3
 
 
 def test_a_repeat_that_became_unwanted_does_not_leave() -> None:
@@ -77,7 +80,7 @@
     wanted[0] = False
     one.tick(one.due_ms())
     assert frames(one) == [] and one.stopped
-    one.wind_up(5000.0)
+    one.prepare_close(5000.0)
     one.send(FrameType.IAX, Iax.HANGUP, b"", 5000.0)
     one.tick(9000.0)
     # The place of the NEW is taken by a PING: the order has no hole, and no work is started.
@@ -88,22 +91,24 @@
     one = Transport(1, 0.0, 2)
     for _ in range(3):
         text(one, b"", 0.0)
-    one.heard(FullFrame(2, 1, 0, 0, 200, FrameType.IAX, Iax.ACK), 1.0)
-    assert one.unconfirmed == 3
-    one.heard(FullFrame(2, 1, 0, 0, 2, FrameType.IAX, Iax.ACK), 1.0)
-    assert one.unconfirmed == 1
+    one.receive(FullFrame(2, 1, 0, 0, 200, FrameType.IAX, Iax.ACK), 1.0)
+    assert one.unacknowledged == 3
+    one.receive(FullFrame(2, 1, 0, 0, 2, FrameType.IAX, Iax.ACK), 1.0)
+    assert one.unacknowledged == 1
 
 
 def test_unconfirmed_frames_are_bounded() -> None:
     one = Transport(1, 0.0, 2)
-    assert [text(one, b"", 0.0) for _ in range(MOST_UNCONFIRMED + 1)] == [True] * MOST_UNCONFIRMED + [False]
+    assert [text(one, b"", 0.0) for _ in range(MAX_UNACKNOWLEDGED + 1)] == [True] * MAX_UNACKNOWLEDGED + [
+        False
+    ]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_both_numbers_wrap_within_one_leg(seed: int) -> None:
     random = Random(seed)
     one, other = Transport(1, 0.0, 2), Transport(2, 0.0, 1)
-    one._stamp = 0xFFFFFFF0  # the time wraps too
+    one._last_timestamp = 0xFFFFFFF0  # the time wraps too
     got: list[bytes] = []
     words = [str(number).encode() for number in range(700)]
     now, at = 0.0, 0
@@ -115,9 +120,9 @@
             for frame in frames(sender):
                 if random.random() < 0.05:
                     continue
-                if receiver.heard(frame, now) is Verdict.TAKE and frame.is_numbered:
+                if receiver.receive(frame, now) is Verdict.ACCEPT and frame.is_numbered:
                     got.append(frame.data)
-                    receiver.reply(Iax.ACK, frame.timestamp)
+                    receiver.send_unnumbered(Iax.ACK, frame.timestamp)
             sender.tick(now)
         assert not one.lost
     assert got == words
@@ -135,7 +140,7 @@
     for number in range(count):
         text(one, str(number).encode(), 0.0)
     now = 0.0
-    while not one.lost and (one.unconfirmed or under_way):
+    while not one.lost and (one.unacknowledged or under_way):
         now += 5.0
         for sender, receiver in ((one, other), (other, one)):
             sender.tick(now)
@@ -146,9 +151,9 @@
         due = [item for item in under_way if item[0] <= now]
         under_way = [item for item in under_way if item[0] > now]
         for _, receiver, frame in due:
-            if receiver.heard(frame, now) is Verdict.TAKE and frame.is_numbered:
+            if receiver.receive(frame, now) is Verdict.ACCEPT and frame.is_numbered:
                 got.append(frame.data)
-                receiver.reply(Iax.ACK, frame.timestamp)
+                receiver.send_unnumbered(Iax.ACK, frame.timestamp)
         assert now < 60_000, "stuck"
     assert got == [str(number).encode() for number in range(len(got))]
     assert one.lost or len(got) == count
