--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -1,4 +1,4 @@
-"""What the tests of failures between IAX2 peers do again and again."""
+"""Helpers of the tests that run the program with fake IAX2 peers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @contextmanager
-def played(stage: Stage, binary: int = 1, iax2: int = 1) -> Iterator[Stage]:
+def running_stage(stage: Stage, binary: int = 1, iax2: int = 1) -> Iterator[Stage]:
     try:
         stage.start()
         stage.add_callers(binary, iax2)
@@ -26,16 +26,16 @@
 
 
 def count(stage: Stage, what: What, who: str = "") -> int:
-    return sum(one.what is what and who in ("", one.who) for one in stage.journal.entries)
+    return sum(entry.what is what and who in ("", entry.who) for entry in stage.journal.entries)
 
 
-def settled(stage: Stage, for_s: float = 20.0) -> None:
+def assert_settled(stage: Stage, for_s: float = 20.0) -> None:
     assert stage.settle(for_s)
     report = stage.report()
     assert not report.broken, report.broken[:10]
 
 
 def first_choice(stage: Stage, caller: int, choice: int, patience_ms: float) -> None:
-    offer = stage.offer(patience_ms)
-    offer.first_choice = choice
-    stage.callers[caller].place(offer)
+    request = stage.offer(patience_ms)
+    request.first_choice = choice
+    stage.callers[caller].place(request)
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -1,4 +1,4 @@
-"""The failures that IAX2 servers can bring about, each caused on purpose, against the program itself."""
+"""Failures of IAX2 servers, each injected on purpose, against the running program."""
 
 from __future__ import annotations
 
@@ -14,88 +14,88 @@
     FrameType,
     Iax,
 )
-from tests.iax2.scenes import LONG, SHORT, count, first_choice, played, settled
+from tests.iax2.scenes import LONG, SHORT, assert_settled, count, first_choice, running_stage
 
 
-def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_hears_its_end() -> None:
-    """The module leaves an attempt the time that the caller has, as with a mute server over SIP."""
-    with played(Stage(3, sip=(SHORT,), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
+def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_gets_a_hangup() -> None:
+    """The decision module lets the attempt run as long as the caller waits, as with a mute SIP server."""
+    with running_stage(Stage(3, sip=(SHORT,), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
         first_choice(stage, 0, 1, patience_ms=2_000.0)
-        settled(stage)
+        assert_settled(stage)
         assert count(stage, What.FAILED) == 1
         assert count(stage, What.SET_UP) == count(stage, What.WITHDRAWN, "s-00000011") == 1
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
-    with played(Stage(3, sip=(SHORT,), iax2=(Manner(deaf=1.0),))) as stage:
+    with running_stage(Stage(3, sip=(SHORT,), iax2=(Manner(deaf=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 1, patience_ms=7_000.0)
-        settled(stage)
+        assert_settled(stage)
         assert count(stage, What.STANDS) == 2 and count(stage, What.SET_UP, "s-00000001") == 2
 
 
-def test_a_repeated_new_for_a_server_that_drained_is_new_work_and_does_not_leave() -> None:
-    with played(Stage(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
+def test_a_new_is_not_retransmitted_to_a_server_that_drained() -> None:
+    with running_stage(Stage(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
         server = stage.iax2[0]
         server.deaf_to.add(Iax.NEW)  # the first one is lost
         first_choice(stage, 0, 1, patience_ms=6_000.0)
         gevent.sleep(0.05)
         stage.drain(server)
         server.deaf_to.clear()
-        settled(stage)
+        assert_settled(stage)
         assert count(stage, What.SET_UP, server.server) == 0 and count(stage, What.STANDS) == 1
 
 
 def test_a_lost_acknowledgement_is_no_proof() -> None:
-    """All that the server says is lost: its set-up runs, and the call waits out the pause before the next."""
-    with played(
+    """All frames from the server are lost: its set-up runs, and the call pauses before the next attempt."""
+    with running_stage(
         Stage(5, sip=(SHORT,), iax2=(Manner(holds_ms=400.0, after_ms=(5_000.0, 5_000.0)),)), iax2=0
     ) as stage:
         server = stage.iax2[0]
         server._asks_token = False
         server._out._faults = Faults(loses=1.0)
         first_choice(stage, 0, 1, patience_ms=8_000.0)
-        settled(stage)
+        assert_settled(stage)
         assert count(stage, What.SET_UP, server.server) == 1 and count(stage, What.STANDS) == 1
 
 
-def test_an_answer_after_the_caller_gave_up_stands_for_nobody() -> None:
+def test_a_call_that_is_answered_after_the_caller_gave_up_is_released() -> None:
     late = Manner(after_ms=(900.0, 900.0), holds_ms=60_000.0)
-    with played(Stage(6, sip=(), iax2=(late,))) as stage:
+    with running_stage(Stage(6, sip=(), iax2=(late,))) as stage:
         for caller in stage.callers:
             caller.place(stage.offer(patience_ms=880.0))
         gevent.sleep(1.5)
-        settled(stage)
+        assert_settled(stage)
         assert count(stage, What.STANDS) == 0 and stage.iax2[0].standing == 0
 
 
-@pytest.mark.parametrize("how", ["restarts", "ends", "vanishes"])
-def test_a_server_that_loses_its_calls_has_them_released_within_8_s(how: str) -> None:
-    with played(Stage(7, sip=(), iax2=(LONG,))) as stage:
+@pytest.mark.parametrize("failure", ["restarts", "ends", "vanishes"])
+def test_a_server_that_loses_its_calls_has_them_released_within_8_s(failure: str) -> None:
+    with running_stage(Stage(7, sip=(), iax2=(LONG,))) as stage:
         for number in range(40):
             stage.callers[number % 2].place(stage.offer())
-        until = time.time() + 3.0  # the callers' patience
-        while count(stage, What.STANDS) < 40 and time.time() < until:
+        deadline_s = time.time() + 3.0  # how long the callers wait
+        while count(stage, What.STANDS) < 40 and time.time() < deadline_s:
             gevent.sleep(0.02)
         assert count(stage, What.STANDS) == 40
         server = stage.iax2[0]
         server.die()
-        if how == "restarts":
+        if failure == "restarts":
             server.revive()
-        elif how == "vanishes":
+        elif failure == "vanishes":
             server.silent = True
             server.revive()
-        began = time.time()
+        start_s = time.time()
         while count(stage, What.RELEASED) < 40:
-            assert time.time() - began < (
-                3.0 if how == "ends" else 8.05
-            ), "that nobody listens is told at once"
+            assert time.time() - start_s < (
+                3.0 if failure == "ends" else 8.05
+            ), "a closed port is reported at once"
             gevent.sleep(0.05)
         assert not stage.report().broken
 
 
-def test_standing_calls_at_a_server_that_lives_are_kept() -> None:
-    with played(Stage(8, sip=(), iax2=(LONG,))) as stage:
+def test_established_calls_at_a_live_server_are_kept() -> None:
+    with running_stage(Stage(8, sip=(), iax2=(LONG,))) as stage:
         for caller in stage.callers:
             caller.place(stage.offer())
         gevent.sleep(9.0)
@@ -104,7 +104,7 @@
 
 
 def test_a_server_that_vanishes_with_a_set_up_out_delays_no_final_answer() -> None:
-    with played(Stage(17, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
+    with running_stage(Stage(17, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
@@ -116,22 +116,22 @@
         assert count(stage, What.FAILED) + count(stage, What.REFUSED) == 2 and not count(stage, What.GAVE_UP)
 
 
-def test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work() -> None:
-    """HANGUPs reach the server only 450 ms late: the next attempt waits for the proof, then for the pause."""
+def test_no_second_attempt_while_lost_hangups_leave_the_first_running() -> None:
+    """HANGUPs arrive 450 ms late: the next attempt waits for the confirmation, then for the pause."""
     quick = Manner(after_ms=(5.0, 10.0), holds_ms=300.0, mutes=0.15)
-    with played(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
-        server, first = stage.iax2[0], dict[object, float]()
-        whole = server._datagram
+    with running_stage(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
+        server, first_seen_s = stage.iax2[0], dict[object, float]()
+        receive = server._datagram
 
-        def late(data: bytes, source: tuple[str, int]) -> None:
+        def delay_hangups(data: bytes, source: tuple[str, int]) -> None:
             if len(data) > 11 and data[10] == FrameType.IAX and data[11] == Iax.HANGUP:
-                since = first.setdefault((source, data[:2]), time.time())
+                since = first_seen_s.setdefault((source, data[:2]), time.time())
                 if time.time() - since < 0.45:
                     return
-            whole(data, source)
+            receive(data, source)
 
-        server._datagram = late  # type: ignore[method-assign]
+        server._datagram = delay_hangups  # type: ignore[method-assign]
         stage.play(60, 6, leaves=0.0)
-        settled(stage)
-        again = count(stage, What.SET_UP) - count(stage, What.OFFERED)
-        assert again >= 2, "no attempt followed one in doubt"
+        assert_settled(stage)
+        retries = count(stage, What.SET_UP) - count(stage, What.OFFERED)
+        assert retries >= 2, "no attempt followed an uncertain one"
