--- a/pearloom/iax2/attempt_endings.py
+++ b/pearloom/iax2/attempt_endings.py
@@ -38,11 +38,11 @@
     CUT = "the peer hung up, and a missing earlier frame may have been an answer"
 
 
-# Stages in which the peer has nothing that could run: it said so itself, or nothing has been sent.
+# Stages in which the peer stores no set-up: its reply shows that, or nothing has been sent.
 NEVER_RAN = frozenset({Stage.NOTHING_SENT, Stage.TOKEN_ASKED, Stage.CHALLENGED})
 
 # Endings where the set-up may have run. UNREACHABLE and UNKNOWN_THERE prove nothing: either may answer a
-# later frame than the one that a process that has ended since then received.
+# later frame, after the process that received the NEW has ended.
 _UNCERTAIN = {
     SetUpFailure.WITHDRAWN: Ending.RESET,
     SetUpFailure.TIMED_OUT: Ending.TIMED_OUT,
--- a/pearloom/iax2/frames.py
+++ b/pearloom/iax2/frames.py
@@ -315,7 +315,7 @@
     return Elements(pairs)
 
 
-# A description is longer than one element.
+# A description may be longer than one element.
 _BLOCK_OCTETS = MAX_ELEMENT_OCTETS - 1
 MAX_DESCRIPTION_BYTES = 15 * 1024
 
--- a/pearloom/iax2/out_leg.py
+++ b/pearloom/iax2/out_leg.py
@@ -79,7 +79,7 @@
         self._was_challenged = False
 
     def start(self, now_ms: float) -> None:
-        """Send NEW with an empty CALLTOKEN, which says that this side supports call tokens."""
+        """Send NEW with an empty CALLTOKEN, which shows that this side supports call tokens."""
         self._send_new(b"", Stage.SENT, now_ms)
 
     def _send_new(self, token: bytes, stage: Stage, now_ms: float) -> None:
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -25,17 +25,17 @@
     assert code == 0
 
 
-def count(stage: Stage, what: What, who: str = "") -> int:
-    return sum(entry.what is what and who in ("", entry.who) for entry in stage.journal.entries)
+def count(stage: Stage, what: What, party: str = "") -> int:
+    return sum(entry.what is what and party in ("", entry.who) for entry in stage.journal.entries)
 
 
-def assert_settled(stage: Stage, for_s: float = 20.0) -> None:
-    assert stage.settle(for_s)
+def assert_settled(stage: Stage, timeout_s: float = 20.0) -> None:
+    assert stage.settle(timeout_s)
     report = stage.report()
     assert not report.broken, report.broken[:10]
 
 
-def first_choice(stage: Stage, caller: int, choice: int, patience_ms: float) -> None:
+def place_with_first_choice(stage: Stage, caller: int, choice: int, patience_ms: float) -> None:
     request = stage.offer(patience_ms)
     request.first_choice = choice
     stage.callers[caller].place(request)
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -28,7 +28,7 @@
     encode_full,
     split_description,
 )
-from tests.iax2.scenes import LONG, SHORT, assert_settled, count, first_choice, running_stage
+from tests.iax2.scenes import LONG, SHORT, assert_settled, count, place_with_first_choice, running_stage
 
 
 class PlainCaller:
@@ -114,7 +114,7 @@
     """A trunk with four call numbers: none is reused soon, and a set-up without a number never ran."""
     with running_stage(Stage(16, sip=(SHORT,), iax2=(Manner(holds_ms=100.0),), numbers=4)) as stage:
         for number in range(20):
-            first_choice(stage, number % 2, 1, patience_ms=4_000.0)
+            place_with_first_choice(stage, number % 2, 1, patience_ms=4_000.0)
             gevent.sleep(0.05)
         assert_settled(stage)
         assert count(stage, What.SET_UP, "s-00000011") == 4
@@ -282,7 +282,7 @@
 def test_an_answer_without_a_description_is_not_passed_on() -> None:
     with running_stage(Stage(21, sip=(SHORT,), iax2=(SHORT,))) as stage:
         stage.iax2[0].nameless = True
-        first_choice(stage, 0, 1, patience_ms=4_000.0)
+        place_with_first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
         answers = [entry for entry in stage.journal.entries if entry.what is What.STANDS]
         assert [entry.description[:10] for entry in answers] == [b"s-00000001"]
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -14,13 +14,13 @@
     FrameType,
     Iax,
 )
-from tests.iax2.scenes import LONG, SHORT, assert_settled, count, first_choice, running_stage
+from tests.iax2.scenes import LONG, SHORT, assert_settled, count, place_with_first_choice, running_stage
 
 
 def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_gets_a_hangup() -> None:
     """The decision module lets the attempt run as long as the caller waits, as with a mute SIP server."""
     with running_stage(Stage(3, sip=(SHORT,), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
-        first_choice(stage, 0, 1, patience_ms=2_000.0)
+        place_with_first_choice(stage, 0, 1, patience_ms=2_000.0)
         assert_settled(stage)
         assert count(stage, What.FAILED) == 1
         assert count(stage, What.SET_UP) == count(stage, What.WITHDRAWN, "s-00000011") == 1
@@ -29,7 +29,7 @@
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
     with running_stage(Stage(3, sip=(SHORT,), iax2=(Manner(deaf=1.0),))) as stage:
         for caller in (0, 1):
-            first_choice(stage, caller, 1, patience_ms=7_000.0)
+            place_with_first_choice(stage, caller, 1, patience_ms=7_000.0)
         assert_settled(stage)
         assert count(stage, What.STANDS) == 2 and count(stage, What.SET_UP, "s-00000001") == 2
 
@@ -38,7 +38,7 @@
     with running_stage(Stage(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
         server = stage.iax2[0]
         server.deaf_to.add(Iax.NEW)  # the first one is lost
-        first_choice(stage, 0, 1, patience_ms=6_000.0)
+        place_with_first_choice(stage, 0, 1, patience_ms=6_000.0)
         gevent.sleep(0.05)
         stage.drain(server)
         server.deaf_to.clear()
@@ -54,7 +54,7 @@
         server = stage.iax2[0]
         server._asks_token = False
         server._out._faults = Faults(loses=1.0)
-        first_choice(stage, 0, 1, patience_ms=8_000.0)
+        place_with_first_choice(stage, 0, 1, patience_ms=8_000.0)
         assert_settled(stage)
         assert count(stage, What.SET_UP, server.server) == 1 and count(stage, What.STANDS) == 1
 
@@ -106,7 +106,7 @@
 def test_a_server_that_vanishes_with_a_set_up_out_delays_no_final_answer() -> None:
     with running_stage(Stage(17, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
         for caller in (0, 1):
-            first_choice(stage, caller, 0, patience_ms=1_500.0)
+            place_with_first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
         assert count(stage, What.SET_UP) >= 1
         stage.iax2[0].silent = True
