--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -98,7 +98,9 @@
         if link is not None and link.connection.peer_ended:
             # Guards against an uncertain attempt: its INVITE would cross a close that is not read yet.
             link.has_ended = outbound.withdrawn = True
-            self._end_attempt(outbound, AttemptError(Progress.CONNECTING, "closed by server", line_only=True))
+            self._end_attempt(
+                outbound, AttemptError(Progress.CONNECTING, "closed by server", is_connection_fault=True)
+            )
             return False
         return self._exchange.may_send(outbound.call, outbound.set_up.attempt)
 
@@ -264,7 +266,9 @@
         if link.unanswered:
             self._dial_policy.record_break(self.now_ms)
         for set_up in list(link.unanswered.values()):
-            self._end_attempt(set_up, AttemptError(set_up.progress, reason, line_only=not self._is_lost))
+            self._end_attempt(
+                set_up, AttemptError(set_up.progress, reason, is_connection_fault=not self._is_lost)
+            )
         resent = self._byes.unexpired(self.now_ms)
         if self._links:
             for outbound in resent:
