--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -19,11 +19,11 @@
 from pearloom.fakes.reading import messages
 from pearloom.fakes.rules import SLACK_MS
 from pearloom.fakes.script import Faults, Path
-from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Rejected
-from pearloom.iax2.frames import Elements, Full, Iax, decode
+from pearloom.iax2.call_numbers import CallNumbers
+from pearloom.iax2.element_mapping import ULAW, caller_elements
+from pearloom.iax2.events import Answered, Event, Failed, HungUp, LegEnded, LegLost, MediaReceived, Rejected
+from pearloom.iax2.frames import Elements, FullFrame, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
-from pearloom.iax2.mapping import ULAW, call_elements
-from pearloom.iax2.numbers import CallNumbers
 from pearloom.iax2.out_leg import OutLeg
 
 REFUSED = (34, 42, 102)  # Q.850 causes that say: trying again is harmless
@@ -175,11 +175,11 @@
 
     def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
         """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
-        number = self._numbers.take(_now())
+        number = self._numbers.allocate(_now())
         if number is None:
             raise RuntimeError("no call number is free")
         offer.codec = ULAW
-        elements = Elements(call_elements(offer, self.name if self._secret else ""))
+        elements = Elements(caller_elements(offer, self.name if self._secret else ""))
         leg = _CallerLeg(number, elements, self._secret, _now(), lambda: True)
         leg.call = offer.call
         self._legs[number] = self._by_call[offer.call] = leg
@@ -194,17 +194,17 @@
         """Say something in a call that stands."""
         leg = self._by_call.get(call)
         if leg is not None and leg.stands:
-            leg.say(Media(MediaKind.VOICE, ULAW, stamp_ms, payload), _now())
+            leg.transmit_media(Media(MediaKind.VOICE, ULAW, stamp_ms, payload), _now())
             self._flush(leg, [])
 
     def _give_up(self, leg: _CallerLeg) -> None:
-        if not leg.stands and not leg.over and not leg.closing:
+        if not leg.stands and not leg.is_ended and not leg.is_closing:
             self._journal.add(What.GAVE_UP, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
     def _leave(self, leg: _CallerLeg) -> None:
-        if leg.stands and not leg.closing and not leg.over:
+        if leg.stands and not leg.is_closing and not leg.is_ended:
             self._journal.add(What.LEFT, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
@@ -212,7 +212,7 @@
     def _flush(self, leg: _CallerLeg, events: list[Event]) -> None:
         for event in events:
             self._event(leg, event)
-        for data in leg.take():
+        for data in leg.take_datagrams():
             self._out.carry(data, self._put)
 
     def _put(self, data: bytes) -> None:
@@ -229,15 +229,15 @@
                 self._journal.add(what, self.name, leg.call)
             case Failed():
                 self._journal.add(What.GAVE_UP, self.name, leg.call)
-            case HungUp() | Gone():
+            case HungUp() | LegLost():
                 self._journal.add(What.RELEASED, self.name, leg.call)
                 leg.stands = False
-            case Heard():
+            case MediaReceived():
                 self.spoken += 1
-            case Over():
+            case LegEnded():
                 self._legs.pop(leg.source, None)
                 self._by_call.pop(leg.call, None)
-                self._numbers.give_back(leg.source, _now())
+                self._numbers.release(leg.source, _now())
 
     def _read(self) -> None:
         while True:
@@ -252,7 +252,7 @@
         if isinstance(frames, Malformed):
             return
         for frame in frames:
-            if isinstance(frame, Full):
+            if isinstance(frame, FullFrame):
                 leg = self._legs.get(frame.destination)
                 if leg is None and not frame.is_iax(Iax.INVAL):
                     self._out.carry(answer_without_leg(frame, Iax.INVAL), self._put)
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -15,21 +15,21 @@
 from pearloom.core.errors import Malformed
 from pearloom.fakes.journal import Journal, What
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
-from pearloom.iax2 import tokens
-from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
+from pearloom.iax2 import call_tokens
+from pearloom.iax2.element_mapping import ULAW, answer_elements
+from pearloom.iax2.events import Event, HungUp, LegEnded, LegLost, MediaReceived, SetUpReceived
 from pearloom.iax2.frames import (
     Element,
     Elements,
-    Full,
+    FullFrame,
     Iax,
-    Mini,
+    MiniFrame,
     decode,
     decode_elements,
     join_description,
 )
 from pearloom.iax2.in_leg import InLeg
 from pearloom.iax2.legs import answer_without_leg
-from pearloom.iax2.mapping import ULAW, answer_elements
 
 PROTOCOL = "iax2"
 _Peer = tuple[Address, int]
@@ -110,28 +110,28 @@
             return
         for frame in frames:
             leg = self._legs.get((source, frame.source))
-            if isinstance(frame, Full) and any(frame.is_iax(kind) for kind in self.deaf_to):
+            if isinstance(frame, FullFrame) and any(frame.is_iax(kind) for kind in self.deaf_to):
                 continue
-            if isinstance(frame, Full) and frame.is_iax(Iax.NEW):
+            if isinstance(frame, FullFrame) and frame.is_iax(Iax.NEW):
                 self._new(frame, source, leg)
-            elif leg is not None and (isinstance(frame, Mini) or frame.destination in (0, leg.source)):
+            elif leg is not None and (isinstance(frame, MiniFrame) or frame.destination in (0, leg.source)):
                 self._flush(leg, leg.feed(frame, self._now()))
-            elif isinstance(frame, Full) and not frame.is_iax(Iax.INVAL):
+            elif isinstance(frame, FullFrame) and not frame.is_iax(Iax.INVAL):
                 self._send(answer_without_leg(frame, Iax.INVAL), source)
 
-    def _new(self, frame: Full, source: Address, leg: _ServerLeg | None) -> None:
+    def _new(self, frame: FullFrame, source: Address, leg: _ServerLeg | None) -> None:
         elements = decode_elements(frame.data)
         if isinstance(elements, Malformed):
             return
         token = elements.get(Element.CALLTOKEN) or b""
-        key = (token, frame.stamp)
+        key = (token, frame.timestamp)
         if leg is not None and leg.key == key:
             self._flush(leg, leg.feed(frame, self._now()))
             return
-        if key in self._spent and self._now() - self._spent[key] < tokens.LIVES_MS:
+        if key in self._spent and self._now() - self._spent[key] < call_tokens.LIFETIME_MS:
             return
-        if self._asks_token and not tokens.holds(self._key, source, frame.source, token, self._now()):
-            made = tokens.issue(self._key, source, frame.source, self._now())
+        if self._asks_token and not call_tokens.is_valid(self._key, source, frame.source, token, self._now()):
+            made = call_tokens.issue(self._key, source, frame.source, self._now())
             asked = Elements([(Element.CALLTOKEN, made)]).encode()
             self._send(answer_without_leg(frame, Iax.CALLTOKEN, asked), source)
             return
@@ -147,7 +147,7 @@
     def _flush(self, leg: _ServerLeg, events: list[Event]) -> None:
         for event in events:
             self._event(leg, event)
-        for data in leg.take():
+        for data in leg.take_datagrams():
             self._send(data, leg.peer[0])
 
     def _send(self, data: bytes, address: Address) -> None:
@@ -161,18 +161,18 @@
     # --- what happens ---------------------------------------------------------------------------------------
     def _event(self, leg: _ServerLeg, event: Event) -> None:
         match event:
-            case Offered(elements):
+            case SetUpReceived(elements):
                 self._offered(leg, elements)
             case HungUp(_) if leg.call:
                 self._journal.add(What.OVER if leg.stands else What.WITHDRAWN, self.server, leg.call)
                 leg.stands = False
-            case Gone(_) if leg.call:
+            case LegLost(_) if leg.call:
                 self._journal.add(What.ENDED if leg.stands else What.DROPPED, self.server, leg.call)
                 leg.stands = False
-            case Heard(media):
+            case MediaReceived(media):
                 self.spoken += 1
-                leg.say(media, self._now())  # an echo
-            case Over():
+                leg.transmit_media(media, self._now())  # an echo
+            case LegEnded():
                 self._spent[leg.key] = self._now()
                 if self._legs.get(leg.peer) is leg:
                     del self._legs[leg.peer]
@@ -193,7 +193,7 @@
             gevent.spawn_later(leg.act.after_ms / 1000.0, self._act, leg)
 
     def _act(self, leg: _ServerLeg) -> None:
-        if leg.over or leg.closing or self._legs.get(leg.peer) is not leg:
+        if leg.is_ended or leg.is_closing or self._legs.get(leg.peer) is not leg:
             return
         if leg.act.behaviour is Behaviour.TURN:
             self._journal.add(What.TURNED, self.server, leg.call)
--- a/pearloom/installation.py
+++ b/pearloom/installation.py
@@ -23,8 +23,8 @@
 from pearloom.core.exchange import Exchange
 from pearloom.core.logs import log_event
 from pearloom.core.set_up_validation import SetUpValidator
-from pearloom.iax2.listener import Front, Fronts
-from pearloom.iax2.settings import Iax2, read_iax2
+from pearloom.iax2.listener import CallerSides, IaxListener
+from pearloom.iax2.settings import Iax2Settings, read_iax2
 from pearloom.iax2.trunk import IaxTrunk
 from pearloom.records import Fields, RecordError, parse
 from pearloom.servers.directory import IAX2, SIP, Directory, TrunkFactory
@@ -64,7 +64,9 @@
         self._config = config
         try:
             fields = Fields(parse(Path(path).read_text(encoding="utf-8"), path), path)
-            self.iax2 = fields.read("iax2", lambda inner: read_iax2(inner, config.class_names)) or Iax2()
+            self.iax2 = (
+                fields.read("iax2", lambda inner: read_iax2(inner, config.class_names)) or Iax2Settings()
+            )
             self.store: StoreSettings | None = fields.read("store", read_store)
             self.maintenance = fields.read("turns", _read_maintenance)
             self.rules = fields.read("rules", _read_rules)
@@ -73,7 +75,7 @@
             raise ConfigError(str(error)) from None
         except (OSError, UnicodeDecodeError) as error:
             raise ConfigError(f"{path}: {error}") from None
-        self.front: Front | None = None
+        self.front: IaxListener | None = None
         self._exchange: Exchange | None = None
         self._counters = Counters()
         self.fleet: FleetServices | None = None
@@ -93,11 +95,11 @@
         factories[IAX2] = lambda side, server: IaxTrunk(
             side, server, self.iax2.server_secrets.get(server.entry.server, ""), first_number
         )
-        servers.protocol_of = lambda server: IAX2 if self.iax2.speaks(server) else SIP
+        servers.protocol_of = lambda server: IAX2 if self.iax2.uses_iax2(server) else SIP
         self._servers, self._exchange, self._counters = servers, exchange, counters
         if self.iax2.listen is None:
             return callers
-        self.front = Front(
+        self.front = IaxListener(
             exchange,
             clock,
             counters,
@@ -106,7 +108,7 @@
             lambda: callers.is_in_service,
             lambda: callers.is_refusing,
         )
-        return Fronts(callers, self.front, counters)
+        return CallerSides(callers, self.front, counters)
 
     def routes(
         self, pool_view: PoolView, drain: Callable[[], object], activate: Callable[[], object]
@@ -159,12 +161,12 @@
             log_event(logging.WARNING, "iax2_listen_waits", reason=str(error))
             gevent.spawn(self._listen_later, self.front)
 
-    def _listen(self, front: Front) -> None:
+    def _listen(self, front: IaxListener) -> None:
         assert self.iax2.listen is not None
         host, port = front.listen(self.iax2.listen)
         log_event(logging.INFO, "iax2_listening", listen=f"{host}:{port}")
 
-    def _listen_later(self, front: Front) -> None:
+    def _listen_later(self, front: IaxListener) -> None:
         for _ in range(int(LISTEN_TIMEOUT_S / LISTEN_RETRY_S)):
             gevent.sleep(LISTEN_RETRY_S)
             try:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -94,7 +94,7 @@
     fields = Fields(parse(f"iax2: {{{text}}}", "f"), "f")
     iax2 = fields.read("iax2", lambda inner: read_iax2(inner, CLASSES))
     assert iax2 is not None and iax2.listen == ("127.0.0.1", 4569) and iax2.limits.legs == 7
-    assert iax2.speaks("s-0000001f") and not iax2.speaks("s-00000021")
+    assert iax2.uses_iax2("s-0000001f") and not iax2.uses_iax2("s-00000021")
 
 
 def test_the_example_file_is_valid() -> None:
