--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,7 +37,7 @@
     return api.PoolEntry(server, cell, state, started)
 
 
-class Proxy:
+class ControllerHost:
     """A controller with the bookkeeping that tests need."""
 
     def __init__(self, *entries: api.PoolEntry, now: int = 100_000_000, **changes: object) -> None:
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -6,13 +6,25 @@
 
 from pearloom import interface as api
 from pearloom.policy import Controller, health, lifecycle
-from tests.helpers import AIM, A, B, Proxy, cancels, entry, finals, own_timer, sends, settings, timers
+from tests.helpers import (
+    AIM,
+    A,
+    B,
+    ControllerHost,
+    cancels,
+    entry,
+    finals,
+    own_timer,
+    sends,
+    settings,
+    timers,
+)
 
 Ending, State = api.Ending, api.PoolState
 
 
 def test_silent_pool_is_reopened_by_a_single_trial() -> None:
-    proxy = Proxy(entry(A, 0), entry(B, 1))
+    proxy = ControllerHost(entry(A, 0), entry(B, 1))
     first = proxy.call(patience=9_000_000)
     proxy.call(patience=9_000_000)
     token = own_timer(first).token
@@ -29,7 +41,7 @@
 
 def test_cut_established_calls_do_not_close_a_live_pool() -> None:
     """Guards against cuts alone limiting all pools to cold budgets for half a minute (incident i37b2a7)."""
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     for number in (1, 2):
         proxy.call()
         proxy.stands(number, A)
@@ -43,7 +55,7 @@
 
 def test_overtaken_attempt_is_cancelled_and_sent_again() -> None:
     """Guards against a server that never answers a fifth of its set-ups (incident i6862c8)."""
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.serve(10, A, 0)
     token = own_timer(proxy.call()).token
     lost = proxy.count
@@ -59,7 +71,7 @@
 
 
 def test_unreachable_pool_sends_the_call_elsewhere_at_once() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.call(first=0)
     assert sends(proxy.ended(1, A, Ending.UNREACHABLE)) == [B]
     proxy.stands(1, B, attempt=1)
@@ -68,7 +80,7 @@
 
 def test_pool_with_consecutive_errors_gets_single_trials() -> None:
     """Guards against a failing server that seems free because its errors come quickly (incident i440a25)."""
-    proxy = Proxy()
+    proxy = ControllerHost()
     for number in (1, 2):
         assert sends(proxy.call(first=0)) == [A]
         assert sends(proxy.ended(number, A, Ending.ERROR)) == [B]
@@ -82,7 +94,7 @@
 
 def test_congested_pool_is_not_refilled_when_its_delay_has_decayed() -> None:
     """Guards against refilling a small server as soon as its slow answer has decayed (incident i6862c8)."""
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call(kind=1)
     proxy.now += 1_500_000
     proxy.stands(1, A, 1_500_000)
@@ -93,7 +105,7 @@
 
 
 def test_call_without_any_pool_is_refused_in_time() -> None:
-    proxy = Proxy(entry(A, 0, State.GONE))
+    proxy = ControllerHost(entry(A, 0, State.GONE))
     actions = proxy.call(patience=3_000_000)
     assert not sends(actions)
     assert finals(proxy.tell(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))) == [
@@ -102,7 +114,7 @@
 
 
 def test_calls_go_to_the_slow_pool_while_the_other_drains() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.serve(5, B, 1)
     proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.DRAINING),)))
     for _ in range(2):
@@ -115,7 +127,7 @@
 
 def test_restarted_softswitch_does_not_use_its_cold_budget_twice() -> None:
     """After its restart it neither knows what it sent before nor has seen what the pools carry."""
-    proxy = Proxy(entry(A, 0, started=99_000_000))
+    proxy = ControllerHost(entry(A, 0, started=99_000_000))
     assert not any(sends(proxy.call()) for _ in range(5))
     for _ in range(20):
         if sends(proxy.tell(api.PoolList(api.ListKind.CHANGES), 400_000) + proxy.call()):
@@ -133,7 +145,7 @@
     interval_us = round(fleet / (pools * 0.9 * capacity) * 1e6)
     proxies = []
     for number in range(fleet):
-        proxy = Proxy(entry(A, 0), entry(B, 1), fleet_size=fleet)
+        proxy = ControllerHost(entry(A, 0), entry(B, 1), fleet_size=fleet)
         proxy.controller = Controller(settings(fleet_size=fleet), number)
         proxy.tell(api.PoolList(api.ListKind.CACHED, (entry(A, 0), entry(B, 1))))
         proxy.now += number * interval_us // fleet
@@ -157,7 +169,7 @@
 
 
 def test_failed_list_keeps_the_old_one_and_subscribes_again() -> None:
-    proxy = Proxy(must_ask=True, ask_within_us=4_000_000)
+    proxy = ControllerHost(must_ask=True, ask_within_us=4_000_000)
     actions = proxy.tell(api.PoolList(api.ListKind.FAILED))
     assert timers(actions) == [api.SetTimer(1_000_000, 0)]
     assert proxy.tell(api.TimerDue(0), 1_000_000) == [api.Subscribe(True)]
@@ -165,7 +177,7 @@
 
 
 def test_invalid_events_name_the_call() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.call()
     with pytest.raises(ValueError, match="c1"):
         proxy.tell(api.CallArrived("c1", 0, 0, 1, 0))
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -6,19 +6,19 @@
 
 from pearloom import interface as api
 from pearloom.policy import health, lifecycle, limits
-from tests.helpers import AIM, A, B, Proxy, entry, finals, own_timer, sends
+from tests.helpers import AIM, A, B, ControllerHost, entry, finals, own_timer, sends
 
 Ending, State = api.Ending, api.PoolState
 
 
 def test_first_choice_gets_the_call_while_its_gate_is_open() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     assert sends(proxy.call(first=1)) == [B]
     assert sends(proxy.call(first=0)) == [A]
 
 
 def test_outstanding_count_closes_the_gate_and_another_pool_is_chosen() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [B], []]
     proxy.serve_out()
     proxy.serve(20, A, 0)
@@ -26,7 +26,7 @@
 
 
 def test_call_is_held_then_refused_once_while_all_gates_are_closed() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call()
     proxy.call()
     actions = proxy.call()
@@ -45,7 +45,7 @@
     most_us: int | None, wait_us: int
 ) -> None:
     """Guards against a time to stay away above the bound of the site, or at a site that sends none."""
-    proxy = Proxy(entry(A, 0), most_stay_away_us=most_us)
+    proxy = ControllerHost(entry(A, 0), most_stay_away_us=most_us)
     proxy.call()
     proxy.call()
     timer = own_timer(proxy.call())
@@ -53,7 +53,7 @@
 
 
 def test_held_call_of_the_highest_rank_is_sent_first_when_a_gate_opens() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     for kind in (0, 0, 0, 1, 1, 1):
         proxy.call(kind=kind)  # two calls of each class are sent, one of each is held
     proxy.now += 40_000
@@ -62,7 +62,7 @@
 
 
 def test_queuing_delay_closes_the_gate_until_it_has_decayed() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.serve(10, A, 0)
     assert sends(proxy.call(0)) == [A]
     proxy.now += 700_000
@@ -73,7 +73,7 @@
 
 
 def test_oldest_unanswered_set_up_counts_as_delay() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.serve(10, A, 0)
     proxy.call(0)
     proxy.now += 500_000
@@ -81,7 +81,7 @@
 
 
 def test_an_overtaken_set_up_closes_no_gate() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.serve(100, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
     proxy.now += 10_000
@@ -93,7 +93,7 @@
 
 
 def test_a_connection_fault_does_not_affect_its_pool() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.serve(30, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
     proxy.ended(proxy.count, A, api.Ending.RESET, is_connection_fault=True)
@@ -101,7 +101,7 @@
 
 
 def test_a_server_that_is_gone_is_dropped_once_its_cell_has_another() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     for number in range(50):
         gone, new = f"a:{number}" if number else A, f"a:{number + 1}"
         proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(gone, 0, State.GONE), entry(new, 0))))
@@ -112,7 +112,7 @@
 
 
 def test_processor_full_pauses_the_pool_for_200_ms() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call()
     proxy.ended(1, A, Ending.FULL, processor_full=True)
     proxy.now += 199_999
@@ -121,7 +121,7 @@
 
 
 def test_pauses_grow_while_the_processor_stays_full() -> None:
-    proxy = Proxy(entry(A, 0), max_attempts=1)
+    proxy = ControllerHost(entry(A, 0), max_attempts=1)
     gaps, last = [], proxy.now
     for _ in range(400):
         proxy.now += 25_000
@@ -136,7 +136,7 @@
 
 
 def test_growth_of_the_limit_is_bounded_in_a_surge() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.serve(20, A, 0)
     proxy.call()
     before = proxy.controller._state.pools[A].limit
@@ -148,13 +148,13 @@
 
 
 def test_limit_counts_redials_as_offered() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.controller.handle(proxy.now, api.CallArrived("r", 0, 0, 3_000_000, 0, redialled=True))
     assert proxy.controller._state.pools[A].offered == 1
 
 
 def test_calls_go_elsewhere_without_a_free_line() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
     assert sends(proxy.call(first=0)) == [B]
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 90.0}))
@@ -162,14 +162,14 @@
 
 
 def test_last_lines_are_reserved_for_the_highest_rank() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 3.0, "lines": 90.0}))
     assert not sends(proxy.call(kind=0))
     assert sends(proxy.call(kind=1)) == [A]
 
 
 def test_a_released_line_is_used_before_the_next_report() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call(kind=1)
     proxy.stands(1, A)
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
@@ -180,7 +180,7 @@
 
 
 def test_quick_rejection_without_a_line_does_not_attract_calls() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.call(first=0)
     assert sends(proxy.ended(1, A, Ending.FULL, no_line=True)) == [B]
     proxy.stands(1, B, attempt=1)
@@ -188,21 +188,21 @@
 
 
 def test_unknown_figures_are_ignored() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": -1.0, "wait_ms": -1.0}))
     assert sends(proxy.call(first=0)) == [A]
 
 
 def test_calls_above_the_tenants_share_rank_lower() -> None:
     shares = (api.Tenant(0.5), api.Tenant(0.5))
-    proxy = Proxy(entry(A, 0), tenants=shares, over_share_worth=0.05)
+    proxy = ControllerHost(entry(A, 0), tenants=shares, over_share_worth=0.05)
     ranks = [proxy.controller._calls._rank(proxy.controller._state.settings.classes[0], 0) for _ in range(30)]
     assert ranks[0] == 1 and ranks[-2:].count(0) >= 1
     assert proxy.controller._calls._rank(proxy.controller._state.settings.classes[0], 1) == 1
 
 
 def test_late_redial_ranks_behind_first_tries() -> None:
-    proxy = Proxy(entry(A, 0, State.GONE), max_attempts=1)
+    proxy = ControllerHost(entry(A, 0, State.GONE), max_attempts=1)
 
     def rank(number: str, name: str) -> int:
         proxy.tell(api.CallArrived(name, 0, 0, 3_000_000, 0, number=number))
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -4,15 +4,15 @@
 
 from pearloom import interface as api
 from pearloom.policy import gate, health, lifecycle
-from tests.helpers import AIM, A, Proxy, entry, finals, own_timer, sends
+from tests.helpers import AIM, A, ControllerHost, entry, finals, own_timer, sends
 
 Ending, State = api.Ending, api.PoolState
 
 
-def _busy() -> Proxy:
+def _busy() -> ControllerHost:
     """A softswitch of a large fleet with a call every 300 ms for one of ten pools, so one per pool in 3 s."""
     pools = tuple(entry(f"p{number}", number) for number in range(10))
-    proxy = Proxy(*pools, fleet_size=280)
+    proxy = ControllerHost(*pools, fleet_size=280)
     for number in range(10):
         proxy.tell(api.PoolReport(f"p{number}", Ending.ENDED, 0, {"free_lines": 1000.0, "lines": 1000.0}))
     for number in range(40):
@@ -85,7 +85,7 @@
 
 def test_refused_calls_do_not_stay_in_the_queue() -> None:
     """Guards against a queue that grows for as long as the gates stay closed."""
-    proxy = Proxy(entry(A, 0, State.GONE))
+    proxy = ControllerHost(entry(A, 0, State.GONE))
     for _ in range(50):
         actions = proxy.call()
         assert finals(proxy.tell(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM)))
@@ -94,7 +94,7 @@
 
 def test_a_distant_pool_opens_once_its_base_delay_is_known() -> None:
     # Distant: every answer takes twice the assumed base delay plus the bound, without any queue.
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     delay_us = 2 * int(0.05 * AIM + 0.3 * 400_000)
     for number in range(1, 13):
         assert sends(proxy.call()), f"call {number} was not sent"
@@ -103,7 +103,7 @@
 
 
 def test_the_first_retune_uses_the_measured_rate_at_once() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     for number in range(1, 31):
         proxy.now += 70_000
         proxy.call()
@@ -113,7 +113,7 @@
 
 
 def test_the_base_delay_of_a_pool_first_met_congested_falls_quickly() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     for number, delay in enumerate([900_000, 20_000, 20_000, 20_000, 20_000, 20_000], 1):
         proxy.call()
         proxy.tell(api.TimerDue(0), after=2 * AIM)
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -6,13 +6,13 @@
 
 from pearloom import interface as api
 from pearloom.policy import lifecycle, routes, state
-from tests.helpers import AIM, A, B, Proxy, entry, finals, own_timer, sends
+from tests.helpers import AIM, A, B, ControllerHost, entry, finals, own_timer, sends
 
 Ending, State = api.Ending, api.PoolState
 
 
 def test_one_final_answer_at_the_deadline() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call(patience=2_000_000)
     margin = int(lifecycle.ANSWER_MARGIN * 20_000)
     token = 2
@@ -23,7 +23,7 @@
 
 
 def test_nothing_is_sent_after_the_caller_left() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.call()
     proxy.tell(api.CallGone("c1"))
     assert proxy.ended(1, A, Ending.FULL, no_line=True) == []
@@ -31,21 +31,21 @@
 
 
 def test_no_second_attempt_while_one_is_outstanding() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.call()
     call = proxy.controller._calls._calls["c1"]
     assert not proxy.controller._calls._send(call, proxy.controller._state.pools[B])
 
 
 def test_attempts_end_at_the_limit() -> None:
-    proxy = Proxy(max_attempts=2)
+    proxy = ControllerHost(max_attempts=2)
     proxy.call()
     assert sends(proxy.ended(1, A, Ending.UNREACHABLE)) == [B]
     assert finals(proxy.ended(1, B, Ending.UNREACHABLE, attempt=1)) == [api.Fail("c1")]
 
 
 def test_a_call_that_two_servers_fail_is_failed_and_ejects_neither() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     for number in range(1, 6):
         assert sends(proxy.call(first=0)) == [A]
         assert sends(proxy.ended(number, A, Ending.ERROR)) == [B]
@@ -54,13 +54,13 @@
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
 def test_draining_server_gets_no_further_calls(state: api.PoolState) -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, state),)))
     assert sends(proxy.call(first=0)) == [B]
 
 
 def test_server_missing_from_a_complete_list_gets_no_calls() -> None:
-    proxy = Proxy()
+    proxy = ControllerHost()
     proxy.tell(api.PoolList(api.ListKind.COMPLETE, (entry(B, 1),)))
     assert sends(proxy.call(first=0)) == [B]
     proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0),)))
@@ -68,7 +68,7 @@
 
 
 def test_release_time_is_awaited_to_the_microsecond() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call()
     actions = proxy.ended(1, A, Ending.TIMED_OUT)
     assert not sends(actions)
@@ -79,14 +79,14 @@
 
 
 def test_call_fails_at_once_where_too_little_patience_is_left_after_the_release() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call(patience=1_000_000)
     assert finals(proxy.ended(1, A, Ending.TIMED_OUT, after=700_000)) == [api.Fail("c1")]
 
 
 def test_cold_budget_over_every_window() -> None:
     started = 100_000_000
-    proxy = Proxy(entry(A, 0), entry(B, 1, started=started), now=started)
+    proxy = ControllerHost(entry(A, 0), entry(B, 1, started=started), now=started)
     proxy.serve(30, A, 0, gap=100_000)
     rate = proxy.controller._state.warm_rate
     sent_at: list[int] = []
@@ -113,7 +113,7 @@
 
 
 def test_cold_budget_is_proportional_to_the_size_of_the_server() -> None:
-    proxy = Proxy(entry(A, 0), entry(B, 1))
+    proxy = ControllerHost(entry(A, 0), entry(B, 1))
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     proxy.tell(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 50.0}))
     proxy.serve(60, A, 0, gap=100_000)
@@ -134,7 +134,7 @@
 
 def test_late_size_report_keeps_the_rate_that_pools_carry() -> None:
     """Guards against one call per window for a new server that answers before it has reported its size."""
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     proxy.serve(60, A, 0, gap=100_000)
     proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.GONE), entry(B, 1, started=proxy.now))))
@@ -146,7 +146,7 @@
 
 
 def test_server_restarted_under_the_same_id_is_cold_and_a_warm_one_is_not() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.serve(20, A, 0)
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 1]
     proxy.stands(21, A)
@@ -157,7 +157,7 @@
 
 
 def test_sends_since_an_unreported_restart_count_against_its_budget() -> None:
-    proxy = Proxy(entry(A, 0))
+    proxy = ControllerHost(entry(A, 0))
     proxy.call()
     proxy.stands(1, A)
     proxy.now += 500_000
@@ -167,6 +167,6 @@
 
 def test_unrepeatable_call_is_not_sent_twice_nor_refused_once_it_may_have_run() -> None:
     classes = (api.CallClass(AIM, 6_000_000, repeatable=False),)
-    proxy = Proxy(classes=classes)
+    proxy = ControllerHost(classes=classes)
     proxy.call()
     assert finals(proxy.ended(1, A, Ending.ERROR)) == [api.Fail("c1")]
