--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -44,9 +44,9 @@
         self.controller = Controller(settings(**changes), 7)
         self.now = now
         self.count = 0
-        self.tell(api.PoolList(api.ListKind.CACHED, entries or (entry(A, 0), entry(B, 1))))
+        self.handle_event(api.PoolList(api.ListKind.CACHED, entries or (entry(A, 0), entry(B, 1))))
 
-    def tell(self, event: api.Event, after: int = 0) -> list[api.Action]:
+    def handle_event(self, event: api.Event, after: int = 0) -> list[api.Action]:
         self.now += after
         return self.controller.handle(self.now, event)
 
@@ -54,27 +54,27 @@
         self, first: int = 0, kind: int = 0, patience: int = 3_000_000, tenant: int = 0
     ) -> list[api.Action]:
         self.count += 1
-        return self.tell(api.CallArrived(f"c{self.count}", kind, tenant, patience, first))
+        return self.handle_event(api.CallArrived(f"c{self.count}", kind, tenant, patience, first))
 
     def stands(self, number: int, server: str, delay: int = 50_000, attempt: int = 0) -> list[api.Action]:
-        return self.tell(api.CallStands(f"c{number}", attempt, server, delay))
+        return self.handle_event(api.CallStands(f"c{number}", attempt, server, delay))
 
     def ended(
         self, number: int, server: str, ending: api.Ending, attempt: int = 0, after: int = 0, **more: object
     ) -> list[api.Action]:
         told: dict[str, Any] = more
-        return self.tell(api.AttemptEnded(f"c{number}", attempt, server, ending, **told), after)
+        return self.handle_event(api.AttemptEnded(f"c{number}", attempt, server, ending, **told), after)
 
     def serve_out(self) -> None:
         """Let all set-ups that are out stand and end at once."""
         for name, call in list(self.controller._calls._calls.items()):
             if call.current_attempt >= 0:
-                self.tell(api.CallStands(name, call.current_attempt, call.server, 50_000))
-                self.tell(
+                self.handle_event(api.CallStands(name, call.current_attempt, call.server, 50_000))
+                self.handle_event(
                     api.AttemptEnded(name, call.attempts - 1, call.server, api.Ending.ENDED, call_over=True)
                 )
             else:
-                self.tell(api.CallGone(name))
+                self.handle_event(api.CallGone(name))
 
     def serve(self, count: int, server: str, first: int, gap: int = 200_000, delay: int = 50_000) -> None:
         """Let calls arrive, stand and end, so that the pool's usual delay and rate are known."""
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -28,7 +28,7 @@
     first = proxy.call(patience=9_000_000)
     proxy.call(patience=9_000_000)
     token = own_timer(first).token
-    proxy.tell(api.TimerDue(token), int(lifecycle.SILENT_AFTER * AIM))
+    proxy.handle_event(api.TimerDue(token), int(lifecycle.SILENT_AFTER * AIM))
     assert proxy.controller._state.pools[A].is_ejected
     proxy.ended(1, A, Ending.TIMED_OUT, call_over=True)
     proxy.ended(2, A, Ending.TIMED_OUT, call_over=True)
@@ -63,11 +63,11 @@
     proxy.call()
     proxy.now += 50_000
     proxy.stands(proxy.count, A)
-    actions = proxy.tell(api.TimerDue(token), int(lifecycle.CHECK_INTERVAL * AIM))
+    actions = proxy.handle_event(api.TimerDue(token), int(lifecycle.CHECK_INTERVAL * AIM))
     assert cancels(actions) == [api.CancelAttempt(f"c{lost}", 0)]
     after_cancel = proxy.ended(lost, A, Ending.CANCELLED)
     assert not sends(after_cancel)
-    assert sends(proxy.tell(api.TimerDue(token), 300_000)) == [A]
+    assert sends(proxy.handle_event(api.TimerDue(token), 300_000)) == [A]
 
 
 def test_unreachable_pool_sends_the_call_elsewhere_at_once() -> None:
@@ -108,15 +108,15 @@
     proxy = ControllerHost(entry(A, 0, State.GONE))
     actions = proxy.call(patience=3_000_000)
     assert not sends(actions)
-    assert finals(proxy.tell(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))) == [
-        api.Refuse("c1", int(lifecycle.STAY_AWAY * AIM))
-    ]
+    assert finals(
+        proxy.handle_event(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))
+    ) == [api.Refuse("c1", int(lifecycle.STAY_AWAY * AIM))]
 
 
 def test_calls_go_to_the_slow_pool_while_the_other_drains() -> None:
     proxy = ControllerHost()
     proxy.serve(5, B, 1)
-    proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.DRAINING),)))
+    proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.DRAINING),)))
     for _ in range(2):
         proxy.call(first=0, kind=1)
         proxy.now += 400_000
@@ -130,7 +130,7 @@
     proxy = ControllerHost(entry(A, 0, started=99_000_000))
     assert not any(sends(proxy.call()) for _ in range(5))
     for _ in range(20):
-        if sends(proxy.tell(api.PoolList(api.ListKind.CHANGES), 400_000) + proxy.call()):
+        if sends(proxy.handle_event(api.PoolList(api.ListKind.CHANGES), 400_000) + proxy.call()):
             return
     raise AssertionError("the cold server gets no calls")
 
@@ -147,7 +147,7 @@
     for number in range(fleet):
         proxy = ControllerHost(entry(A, 0), entry(B, 1), fleet_size=fleet)
         proxy.controller = Controller(settings(fleet_size=fleet), number)
-        proxy.tell(api.PoolList(api.ListKind.CACHED, (entry(A, 0), entry(B, 1))))
+        proxy.handle_event(api.PoolList(api.ListKind.CACHED, (entry(A, 0), entry(B, 1))))
         proxy.now += number * interval_us // fleet
         for index in range(16_000_000 // interval_us):
             proxy.serve(1, (A, B)[index % 2], index % 2, gap=interval_us)
@@ -170,9 +170,9 @@
 
 def test_failed_list_keeps_the_old_one_and_subscribes_again() -> None:
     proxy = ControllerHost(must_ask=True, ask_within_us=4_000_000)
-    actions = proxy.tell(api.PoolList(api.ListKind.FAILED))
+    actions = proxy.handle_event(api.PoolList(api.ListKind.FAILED))
     assert timers(actions) == [api.SetTimer(1_000_000, 0)]
-    assert proxy.tell(api.TimerDue(0), 1_000_000) == [api.Subscribe(True)]
+    assert proxy.handle_event(api.TimerDue(0), 1_000_000) == [api.Subscribe(True)]
     assert sends(proxy.call(first=0)) == [A]
 
 
@@ -180,13 +180,13 @@
     proxy = ControllerHost()
     proxy.call()
     with pytest.raises(ValueError, match="c1"):
-        proxy.tell(api.CallArrived("c1", 0, 0, 1, 0))
+        proxy.handle_event(api.CallArrived("c1", 0, 0, 1, 0))
     with pytest.raises(ValueError, match="c9"):
         proxy.stands(9, A)
     with pytest.raises(ValueError, match="class 5"):
         proxy.call(kind=5)
     with pytest.raises(ValueError, match="backwards"):
-        proxy.tell(api.CallGone("c1"), -1)
+        proxy.handle_event(api.CallGone("c1"), -1)
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -33,11 +33,11 @@
     assert not sends(actions) and not finals(actions)
     timer = own_timer(actions)
     assert timer.after_us == int(lifecycle.HOLD_TIME * AIM)
-    assert not finals(proxy.tell(api.TimerDue(timer.token), timer.after_us - 1))
-    assert finals(proxy.tell(api.TimerDue(timer.token), 1)) == [
+    assert not finals(proxy.handle_event(api.TimerDue(timer.token), timer.after_us - 1))
+    assert finals(proxy.handle_event(api.TimerDue(timer.token), 1)) == [
         api.Refuse("c3", int(lifecycle.STAY_AWAY * AIM))
     ]
-    assert not finals(proxy.tell(api.TimerDue(timer.token), 1))
+    assert not finals(proxy.handle_event(api.TimerDue(timer.token), 1))
 
 
 @pytest.mark.parametrize(("most_us", "wait_us"), [(None, AIM), (250_000, 250_000), (0, 0), (9 * AIM, AIM)])
@@ -49,7 +49,9 @@
     proxy.call()
     proxy.call()
     timer = own_timer(proxy.call())
-    assert finals(proxy.tell(api.TimerDue(timer.token), timer.after_us)) == [api.Refuse("c3", wait_us)]
+    assert finals(proxy.handle_event(api.TimerDue(timer.token), timer.after_us)) == [
+        api.Refuse("c3", wait_us)
+    ]
 
 
 def test_held_call_of_the_highest_rank_is_sent_first_when_a_gate_opens() -> None:
@@ -104,7 +106,7 @@
     proxy = ControllerHost()
     for number in range(50):
         gone, new = f"a:{number}" if number else A, f"a:{number + 1}"
-        proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(gone, 0, State.GONE), entry(new, 0))))
+        proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(gone, 0, State.GONE), entry(new, 0))))
         proxy.call()
         proxy.serve_out()
         proxy.now += 3_000_000
@@ -117,7 +119,7 @@
     proxy.ended(1, A, Ending.FULL, processor_full=True)
     proxy.now += 199_999
     assert not sends(proxy.call())
-    assert sends(proxy.tell(api.TimerDue(1), 1 + round(health.PAUSE_JITTER * 200_000))) == [A]
+    assert sends(proxy.handle_event(api.TimerDue(1), 1 + round(health.PAUSE_JITTER * 200_000))) == [A]
 
 
 def test_pauses_grow_while_the_processor_stays_full() -> None:
@@ -142,7 +144,7 @@
     before = proxy.controller._state.pools[A].limit
     for _ in range(500):
         proxy.call()
-    proxy.tell(api.TimerDue(1), limits.RETUNE_US)
+    proxy.handle_event(api.TimerDue(1), limits.RETUNE_US)
     after = proxy.controller._state.pools[A].limit
     assert before < after <= before * limits.LIMIT_GROWTH
 
@@ -155,15 +157,15 @@
 
 def test_calls_go_elsewhere_without_a_free_line() -> None:
     proxy = ControllerHost()
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
     assert sends(proxy.call(first=0)) == [B]
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 90.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 90.0}))
     assert sends(proxy.call(first=0)) == [A]
 
 
 def test_last_lines_are_reserved_for_the_highest_rank() -> None:
     proxy = ControllerHost(entry(A, 0))
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 3.0, "lines": 90.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 3.0, "lines": 90.0}))
     assert not sends(proxy.call(kind=0))
     assert sends(proxy.call(kind=1)) == [A]
 
@@ -172,7 +174,7 @@
     proxy = ControllerHost(entry(A, 0))
     proxy.call(kind=1)
     proxy.stands(1, A)
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
     actions = proxy.call(kind=1)
     assert not sends(actions) and not finals(actions)
     assert sends(proxy.ended(1, A, Ending.ENDED, call_over=True)) == [A]
@@ -189,7 +191,7 @@
 
 def test_unknown_figures_are_ignored() -> None:
     proxy = ControllerHost()
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": -1.0, "wait_ms": -1.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": -1.0, "wait_ms": -1.0}))
     assert sends(proxy.call(first=0)) == [A]
 
 
@@ -205,12 +207,12 @@
     proxy = ControllerHost(entry(A, 0, State.GONE), max_attempts=1)
 
     def rank(number: str, name: str) -> int:
-        proxy.tell(api.CallArrived(name, 0, 0, 3_000_000, 0, number=number))
+        proxy.handle_event(api.CallArrived(name, 0, 0, 3_000_000, 0, number=number))
         return proxy.controller._calls._calls[name].rank
 
     assert rank("7", "first") == 1
     token = next(iter(proxy.controller._calls._tokens))
-    assert finals(proxy.tell(api.TimerDue(token), int(lifecycle.HOLD_TIME * AIM))) == [
+    assert finals(proxy.handle_event(api.TimerDue(token), int(lifecycle.HOLD_TIME * AIM))) == [
         api.Refuse("first", int(lifecycle.STAY_AWAY * AIM))
     ]
     proxy.now += AIM
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -14,7 +14,9 @@
     pools = tuple(entry(f"p{number}", number) for number in range(10))
     proxy = ControllerHost(*pools, fleet_size=280)
     for number in range(10):
-        proxy.tell(api.PoolReport(f"p{number}", Ending.ENDED, 0, {"free_lines": 1000.0, "lines": 1000.0}))
+        proxy.handle_event(
+            api.PoolReport(f"p{number}", Ending.ENDED, 0, {"free_lines": 1000.0, "lines": 1000.0})
+        )
     for number in range(40):
         proxy.serve(1, f"p{number % 10}", number % 10, gap=300_000)
     return proxy
@@ -51,7 +53,9 @@
     proxy = _busy()
     sent_to = []
     for _ in range(6):
-        proxy.tell(api.PoolReport("p0", Ending.ENDED, 0, {"free_lines": 200.0, "lines": 200.0}), 1_000_000)
+        proxy.handle_event(
+            api.PoolReport("p0", Ending.ENDED, 0, {"free_lines": 200.0, "lines": 200.0}), 1_000_000
+        )
         sent_to += sends(proxy.call(first=0))
         proxy.stands(proxy.count, sent_to[-1], 50_000)
     assert sent_to.count("p0") >= 2
@@ -61,7 +65,9 @@
     """Guards against 280 softswitches that all use the same ten free lines."""
     count, proxy = 0, _busy()
     for _ in range(60):
-        proxy.tell(api.PoolReport("p0", Ending.ENDED, 0, {"free_lines": 92.0, "lines": 1000.0}), 300_000)
+        proxy.handle_event(
+            api.PoolReport("p0", Ending.ENDED, 0, {"free_lines": 92.0, "lines": 1000.0}), 300_000
+        )
         for server in (servers := sends(proxy.call(first=0))):
             count += server == "p0"
             proxy.stands(proxy.count, server, 50_000)
@@ -88,7 +94,9 @@
     proxy = ControllerHost(entry(A, 0, State.GONE))
     for _ in range(50):
         actions = proxy.call()
-        assert finals(proxy.tell(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM)))
+        assert finals(
+            proxy.handle_event(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))
+        )
     assert sum(len(queue) for queue in proxy.controller._calls._held) <= 1
 
 
@@ -116,7 +124,7 @@
     proxy = ControllerHost(entry(A, 0))
     for number, delay in enumerate([900_000, 20_000, 20_000, 20_000, 20_000, 20_000], 1):
         proxy.call()
-        proxy.tell(api.TimerDue(0), after=2 * AIM)
+        proxy.handle_event(api.TimerDue(0), after=2 * AIM)
         proxy.stands(number, A, delay=delay)
     proxy.call()
     proxy.stands(7, A, delay=400_000)
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -16,18 +16,18 @@
     proxy.call(patience=2_000_000)
     margin = int(lifecycle.ANSWER_MARGIN * 20_000)
     token = 2
-    assert not finals(proxy.tell(api.TimerDue(token), 2_000_000 - margin - 1))
-    assert finals(proxy.tell(api.TimerDue(token), 1)) == [api.Fail("c1")]
+    assert not finals(proxy.handle_event(api.TimerDue(token), 2_000_000 - margin - 1))
+    assert finals(proxy.handle_event(api.TimerDue(token), 1)) == [api.Fail("c1")]
     assert not finals(proxy.ended(1, A, Ending.CANCELLED))
-    assert not finals(proxy.tell(api.TimerDue(token), 1))
+    assert not finals(proxy.handle_event(api.TimerDue(token), 1))
 
 
 def test_nothing_is_sent_after_the_caller_left() -> None:
     proxy = ControllerHost()
     proxy.call()
-    proxy.tell(api.CallGone("c1"))
+    proxy.handle_event(api.CallGone("c1"))
     assert proxy.ended(1, A, Ending.FULL, no_line=True) == []
-    assert proxy.tell(api.CallGone("c1")) == []
+    assert proxy.handle_event(api.CallGone("c1")) == []
 
 
 def test_no_second_attempt_while_one_is_outstanding() -> None:
@@ -55,15 +55,15 @@
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
 def test_draining_server_gets_no_further_calls(state: api.PoolState) -> None:
     proxy = ControllerHost()
-    proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, state),)))
+    proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, state),)))
     assert sends(proxy.call(first=0)) == [B]
 
 
 def test_server_missing_from_a_complete_list_gets_no_calls() -> None:
     proxy = ControllerHost()
-    proxy.tell(api.PoolList(api.ListKind.COMPLETE, (entry(B, 1),)))
+    proxy.handle_event(api.PoolList(api.ListKind.COMPLETE, (entry(B, 1),)))
     assert sends(proxy.call(first=0)) == [B]
-    proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0),)))
+    proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0),)))
     assert sends(proxy.call(first=0)) == [A]
 
 
@@ -74,8 +74,8 @@
     assert not sends(actions)
     timer = own_timer(actions)
     assert timer.after_us == 300_000
-    assert not sends(proxy.tell(api.TimerDue(timer.token), 299_999))
-    assert sends(proxy.tell(api.TimerDue(timer.token), 1)) == [A]
+    assert not sends(proxy.handle_event(api.TimerDue(timer.token), 299_999))
+    assert sends(proxy.handle_event(api.TimerDue(timer.token), 1)) == [A]
 
 
 def test_call_fails_at_once_where_too_little_patience_is_left_after_the_release() -> None:
@@ -114,14 +114,16 @@
 
 def test_cold_budget_is_proportional_to_the_size_of_the_server() -> None:
     proxy = ControllerHost(entry(A, 0), entry(B, 1))
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
-    proxy.tell(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 50.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
+    proxy.handle_event(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 50.0}))
     proxy.serve(60, A, 0, gap=100_000)
     counts = []
     for server, cell in ((A, 0), (B, 1)):
         proxy.now += 100_000
-        proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(server, cell, started=proxy.now),)))
-        proxy.tell(api.PoolReport(server, Ending.ENDED, 0, {"free_lines": 400.0, "lines": 500.0 / 10**cell}))
+        proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(server, cell, started=proxy.now),)))
+        proxy.handle_event(
+            api.PoolReport(server, Ending.ENDED, 0, {"free_lines": 400.0, "lines": 500.0 / 10**cell})
+        )
         count = 0
         for _ in range(20):
             servers = sends(proxy.call(first=cell))
@@ -135,11 +137,13 @@
 def test_late_size_report_keeps_the_rate_that_pools_carry() -> None:
     """Guards against one call per window for a new server that answers before it has reported its size."""
     proxy = ControllerHost(entry(A, 0))
-    proxy.tell(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
+    proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     proxy.serve(60, A, 0, gap=100_000)
-    proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.GONE), entry(B, 1, started=proxy.now))))
+    proxy.handle_event(
+        api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.GONE), entry(B, 1, started=proxy.now)))
+    )
     proxy.serve(1, B, 1, gap=4_000_000)
-    proxy.tell(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
+    proxy.handle_event(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     for _ in range(3):
         assert sends(proxy.call(first=1)) == [B]
         proxy.stands(proxy.count, B, 20_000)
@@ -152,7 +156,7 @@
     proxy.stands(21, A)
     proxy.stands(22, A)
     proxy.now += 3_000_000
-    proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, started=proxy.now - 1_000_000),)))
+    proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, started=proxy.now - 1_000_000),)))
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 0]
 
 
@@ -161,7 +165,7 @@
     proxy.call()
     proxy.stands(1, A)
     proxy.now += 500_000
-    proxy.tell(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, started=proxy.now - 1_000_000),)))
+    proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, started=proxy.now - 1_000_000),)))
     assert not sends(proxy.call())
 
 
