--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,9 @@
         self.count += 1
         return self.handle_event(api.CallArrived(f"c{self.count}", kind, tenant, patience, first))
 
-    def stands(self, number: int, server: str, delay: int = 50_000, attempt: int = 0) -> list[api.Action]:
+    def report_answer(
+        self, number: int, server: str, delay: int = 50_000, attempt: int = 0
+    ) -> list[api.Action]:
         return self.handle_event(api.CallStands(f"c{number}", attempt, server, delay))
 
     def ended(
@@ -82,7 +84,7 @@
             sent = self.call(first)
             assert sends(sent) == [server]
             self.now += delay
-            self.stands(self.count, server, delay)
+            self.report_answer(self.count, server, delay)
             self.ended(self.count, server, api.Ending.ENDED, call_over=True)
             self.now += gap - delay
 
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -35,7 +35,7 @@
     proxy.now += 3_000_000
     sent_to = [sends(proxy.call(first=0)) for _ in range(3)]
     assert sent_to.count([A]) == 1
-    proxy.stands(3, A)
+    proxy.report_answer(3, A)
     assert sends(proxy.call(first=0)) == [A]
 
 
@@ -44,13 +44,13 @@
     proxy = ControllerHost(entry(A, 0))
     for number in (1, 2):
         proxy.call()
-        proxy.stands(number, A)
+        proxy.report_answer(number, A)
     for number in (1, 2):
         proxy.ended(number, A, Ending.RESET, call_over=True)
     assert sends(proxy.call()) == [A]
     assert not sends(proxy.call())
     proxy.now += 40_000
-    assert sends(proxy.stands(3, A, 40_000)) == [A]
+    assert sends(proxy.report_answer(3, A, 40_000)) == [A]
 
 
 def test_overtaken_attempt_is_cancelled_and_sent_again() -> None:
@@ -62,7 +62,7 @@
     proxy.now += 10_000
     proxy.call()
     proxy.now += 50_000
-    proxy.stands(proxy.count, A)
+    proxy.report_answer(proxy.count, A)
     actions = proxy.handle_event(api.TimerDue(token), int(lifecycle.CHECK_INTERVAL * AIM))
     assert cancels(actions) == [api.CancelAttempt(f"c{lost}", 0)]
     after_cancel = proxy.ended(lost, A, Ending.CANCELLED)
@@ -74,7 +74,7 @@
     proxy = ControllerHost()
     proxy.call(first=0)
     assert sends(proxy.ended(1, A, Ending.UNREACHABLE)) == [B]
-    proxy.stands(1, B, attempt=1)
+    proxy.report_answer(1, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
 
 
@@ -84,11 +84,11 @@
     for number in (1, 2):
         assert sends(proxy.call(first=0)) == [A]
         assert sends(proxy.ended(number, A, Ending.ERROR)) == [B]
-        proxy.stands(number, B, attempt=1)
+        proxy.report_answer(number, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
     proxy.now += round(health.FULL_PAUSE_US * (1 + health.PAUSE_JITTER))
     assert sends(proxy.call(first=0)) == [A]
-    proxy.stands(4, A, 20_000)
+    proxy.report_answer(4, A, 20_000)
     assert sends(proxy.call(first=0)) == [A]
 
 
@@ -97,11 +97,11 @@
     proxy = ControllerHost(entry(A, 0))
     proxy.call(kind=1)
     proxy.now += 1_500_000
-    proxy.stands(1, A, 1_500_000)
+    proxy.report_answer(1, A, 1_500_000)
     proxy.now += 5_000_000
     assert [len(sends(proxy.call(kind=1))) for _ in range(3)] == [1, 0, 0]
     proxy.now += 40_000
-    assert sends(proxy.stands(2, A, 40_000)) == [A, A]
+    assert sends(proxy.report_answer(2, A, 40_000)) == [A, A]
 
 
 def test_call_without_any_pool_is_refused_in_time() -> None:
@@ -120,7 +120,7 @@
     for _ in range(2):
         proxy.call(first=0, kind=1)
         proxy.now += 400_000
-        proxy.stands(proxy.count, B, 400_000)
+        proxy.report_answer(proxy.count, B, 400_000)
     assert not sends(proxy.call(first=0, kind=0))
     assert sends(proxy.call(first=0, kind=1)) == [B]
 
@@ -182,7 +182,7 @@
     with pytest.raises(ValueError, match="c1"):
         proxy.handle_event(api.CallArrived("c1", 0, 0, 1, 0))
     with pytest.raises(ValueError, match="c9"):
-        proxy.stands(9, A)
+        proxy.report_answer(9, A)
     with pytest.raises(ValueError, match="class 5"):
         proxy.call(kind=5)
     with pytest.raises(ValueError, match="backwards"):
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -59,7 +59,7 @@
     for kind in (0, 0, 0, 1, 1, 1):
         proxy.call(kind=kind)  # two calls of each class are sent, one of each is held
     proxy.now += 40_000
-    actions = proxy.stands(1, A, 40_000)
+    actions = proxy.report_answer(1, A, 40_000)
     assert [action.call for action in actions if isinstance(action, api.SendSetUp)] == ["c6"]
 
 
@@ -68,7 +68,7 @@
     proxy.serve(10, A, 0)
     assert sends(proxy.call(0)) == [A]
     proxy.now += 700_000
-    proxy.stands(proxy.count, A, 700_000)
+    proxy.report_answer(proxy.count, A, 700_000)
     assert sends(proxy.call(0)) == [B]
     proxy.now += 2_000_000
     assert sends(proxy.call(0)) == [A]
@@ -89,7 +89,7 @@
     proxy.now += 10_000
     assert sends(proxy.call()) == [A]
     proxy.now += 50_000
-    proxy.stands(proxy.count, A)
+    proxy.report_answer(proxy.count, A)
     proxy.now += 190_000
     assert sends(proxy.call()) == [A]
 
@@ -173,7 +173,7 @@
 def test_a_released_line_is_used_before_the_next_report() -> None:
     proxy = ControllerHost(entry(A, 0))
     proxy.call(kind=1)
-    proxy.stands(1, A)
+    proxy.report_answer(1, A)
     proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
     actions = proxy.call(kind=1)
     assert not sends(actions) and not finals(actions)
@@ -185,7 +185,7 @@
     proxy = ControllerHost()
     proxy.call(first=0)
     assert sends(proxy.ended(1, A, Ending.FULL, no_line=True)) == [B]
-    proxy.stands(1, B, attempt=1)
+    proxy.report_answer(1, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
 
 
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -42,7 +42,7 @@
     for _ in range(2):
         assert sends(proxy.call(first=0)) == ["p0"]
         proxy.now += 380_000
-        proxy.stands(proxy.count, "p0", 380_000)
+        proxy.report_answer(proxy.count, "p0", 380_000)
     proxy.now += 1_500_000
     proxy.call(first=1)
     assert not gate.is_open(proxy.controller._state, proxy.controller._state.pools["p0"], 1)
@@ -57,7 +57,7 @@
             api.PoolReport("p0", Ending.ENDED, 0, {"free_lines": 200.0, "lines": 200.0}), 1_000_000
         )
         sent_to += sends(proxy.call(first=0))
-        proxy.stands(proxy.count, sent_to[-1], 50_000)
+        proxy.report_answer(proxy.count, sent_to[-1], 50_000)
     assert sent_to.count("p0") >= 2
 
 
@@ -70,7 +70,7 @@
         )
         for server in (servers := sends(proxy.call(first=0))):
             count += server == "p0"
-            proxy.stands(proxy.count, server, 50_000)
+            proxy.report_answer(proxy.count, server, 50_000)
             proxy.ended(proxy.count, server, Ending.ENDED, call_over=True)
         assert len(servers) == 1
     assert 1 <= count <= 25  # (92 - 50 reserved) / 280 of 60 reports is 9
@@ -83,7 +83,7 @@
     for _ in range(4):
         servers = sends(proxy.call(first=0))
         is_first_choice.append(servers == ["p0"])
-        proxy.stands(proxy.count, servers[0], 50_000)
+        proxy.report_answer(proxy.count, servers[0], 50_000)
     assert is_first_choice.count(True) == 1
     proxy.controller._state.overload = 0.0
     assert sends(proxy.call(first=0)) == ["p0"]
@@ -107,7 +107,7 @@
     for number in range(1, 13):
         assert sends(proxy.call()), f"call {number} was not sent"
         proxy.now += delay_us
-        proxy.stands(number, A, delay=delay_us)
+        proxy.report_answer(number, A, delay=delay_us)
 
 
 def test_the_first_retune_uses_the_measured_rate_at_once() -> None:
@@ -115,7 +115,7 @@
     for number in range(1, 31):
         proxy.now += 70_000
         proxy.call()
-        proxy.stands(number, A, delay=120_000)
+        proxy.report_answer(number, A, delay=120_000)
     proxy.now += 70_000  # past the first retune: 14 calls per second of 120 ms each, doubled, and one more
     assert all(sends(proxy.call()) for _ in range(4)), "the limit is still that of a pool without calls"
 
@@ -125,7 +125,7 @@
     for number, delay in enumerate([900_000, 20_000, 20_000, 20_000, 20_000, 20_000], 1):
         proxy.call()
         proxy.handle_event(api.TimerDue(0), after=2 * AIM)
-        proxy.stands(number, A, delay=delay)
+        proxy.report_answer(number, A, delay=delay)
     proxy.call()
-    proxy.stands(7, A, delay=400_000)
+    proxy.report_answer(7, A, delay=400_000)
     assert not sends(proxy.call()), "an answer 380 ms above the base delay leaves the gate open"
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -93,7 +93,7 @@
     while proxy.now < started + 10_000_000:
         proxy.now += 20_000
         server = sends(proxy.call(first=1))[0]
-        proxy.stands(proxy.count, server, 20_000)
+        proxy.report_answer(proxy.count, server, 20_000)
         if server == B:
             sent_at.append(proxy.now)
     assert rate > 1 and len(sent_at) > 10
@@ -129,7 +129,7 @@
             servers = sends(proxy.call(first=cell))
             count += servers == [server]
             for sent_to in servers:
-                proxy.stands(proxy.count, sent_to, 20_000)
+                proxy.report_answer(proxy.count, sent_to, 20_000)
         counts.append(count)
     assert counts[0] >= 3 and counts[1] <= 1
 
@@ -146,15 +146,15 @@
     proxy.handle_event(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     for _ in range(3):
         assert sends(proxy.call(first=1)) == [B]
-        proxy.stands(proxy.count, B, 20_000)
+        proxy.report_answer(proxy.count, B, 20_000)
 
 
 def test_server_restarted_under_the_same_id_is_cold_and_a_warm_one_is_not() -> None:
     proxy = ControllerHost(entry(A, 0))
     proxy.serve(20, A, 0)
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 1]
-    proxy.stands(21, A)
-    proxy.stands(22, A)
+    proxy.report_answer(21, A)
+    proxy.report_answer(22, A)
     proxy.now += 3_000_000
     proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, started=proxy.now - 1_000_000),)))
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 0]
@@ -163,7 +163,7 @@
 def test_sends_since_an_unreported_restart_count_against_its_budget() -> None:
     proxy = ControllerHost(entry(A, 0))
     proxy.call()
-    proxy.stands(1, A)
+    proxy.report_answer(1, A)
     proxy.now += 500_000
     proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, started=proxy.now - 1_000_000),)))
     assert not sends(proxy.call())
