--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -61,7 +61,7 @@
     ) -> list[api.Action]:
         return self.handle_event(api.CallStands(f"c{number}", attempt, server, delay))
 
-    def ended(
+    def report_end(
         self, number: int, server: str, ending: api.Ending, attempt: int = 0, after: int = 0, **more: object
     ) -> list[api.Action]:
         told: dict[str, Any] = more
@@ -85,7 +85,7 @@
             assert sends(sent) == [server]
             self.now += delay
             self.report_answer(self.count, server, delay)
-            self.ended(self.count, server, api.Ending.ENDED, call_over=True)
+            self.report_end(self.count, server, api.Ending.ENDED, call_over=True)
             self.now += gap - delay
 
 
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -30,8 +30,8 @@
     token = own_timer(first).token
     proxy.handle_event(api.TimerDue(token), int(lifecycle.SILENT_AFTER * AIM))
     assert proxy.controller._state.pools[A].is_ejected
-    proxy.ended(1, A, Ending.TIMED_OUT, call_over=True)
-    proxy.ended(2, A, Ending.TIMED_OUT, call_over=True)
+    proxy.report_end(1, A, Ending.TIMED_OUT, call_over=True)
+    proxy.report_end(2, A, Ending.TIMED_OUT, call_over=True)
     proxy.now += 3_000_000
     sent_to = [sends(proxy.call(first=0)) for _ in range(3)]
     assert sent_to.count([A]) == 1
@@ -46,7 +46,7 @@
         proxy.call()
         proxy.report_answer(number, A)
     for number in (1, 2):
-        proxy.ended(number, A, Ending.RESET, call_over=True)
+        proxy.report_end(number, A, Ending.RESET, call_over=True)
     assert sends(proxy.call()) == [A]
     assert not sends(proxy.call())
     proxy.now += 40_000
@@ -65,7 +65,7 @@
     proxy.report_answer(proxy.count, A)
     actions = proxy.handle_event(api.TimerDue(token), int(lifecycle.CHECK_INTERVAL * AIM))
     assert cancels(actions) == [api.CancelAttempt(f"c{lost}", 0)]
-    after_cancel = proxy.ended(lost, A, Ending.CANCELLED)
+    after_cancel = proxy.report_end(lost, A, Ending.CANCELLED)
     assert not sends(after_cancel)
     assert sends(proxy.handle_event(api.TimerDue(token), 300_000)) == [A]
 
@@ -73,7 +73,7 @@
 def test_unreachable_pool_sends_the_call_elsewhere_at_once() -> None:
     proxy = ControllerHost()
     proxy.call(first=0)
-    assert sends(proxy.ended(1, A, Ending.UNREACHABLE)) == [B]
+    assert sends(proxy.report_end(1, A, Ending.UNREACHABLE)) == [B]
     proxy.report_answer(1, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
 
@@ -83,7 +83,7 @@
     proxy = ControllerHost()
     for number in (1, 2):
         assert sends(proxy.call(first=0)) == [A]
-        assert sends(proxy.ended(number, A, Ending.ERROR)) == [B]
+        assert sends(proxy.report_end(number, A, Ending.ERROR)) == [B]
         proxy.report_answer(number, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
     proxy.now += round(health.FULL_PAUSE_US * (1 + health.PAUSE_JITTER))
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -98,7 +98,7 @@
     proxy = ControllerHost()
     proxy.serve(30, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
-    proxy.ended(proxy.count, A, api.Ending.RESET, is_connection_fault=True)
+    proxy.report_end(proxy.count, A, api.Ending.RESET, is_connection_fault=True)
     assert sends(proxy.call()) == sends(proxy.call()) == [A]
 
 
@@ -116,7 +116,7 @@
 def test_processor_full_pauses_the_pool_for_200_ms() -> None:
     proxy = ControllerHost(entry(A, 0))
     proxy.call()
-    proxy.ended(1, A, Ending.FULL, processor_full=True)
+    proxy.report_end(1, A, Ending.FULL, processor_full=True)
     proxy.now += 199_999
     assert not sends(proxy.call())
     assert sends(proxy.handle_event(api.TimerDue(1), 1 + round(health.PAUSE_JITTER * 200_000))) == [A]
@@ -130,7 +130,7 @@
         if sends(proxy.call(patience=9_000_000)):
             gaps.append(proxy.now - last)
             last = proxy.now
-            proxy.ended(proxy.count, A, Ending.FULL, processor_full=True)
+            proxy.report_end(proxy.count, A, Ending.FULL, processor_full=True)
     most = 1 + health.PAUSE_JITTER
     for gap, least in zip(gaps[1:5], (200_000, 400_000, 800_000, 1_600_000), strict=True):
         assert least <= gap <= least * most + 25_000
@@ -177,14 +177,14 @@
     proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 0.0, "lines": 90.0}))
     actions = proxy.call(kind=1)
     assert not sends(actions) and not finals(actions)
-    assert sends(proxy.ended(1, A, Ending.ENDED, call_over=True)) == [A]
+    assert sends(proxy.report_end(1, A, Ending.ENDED, call_over=True)) == [A]
     assert not sends(proxy.call(kind=1))
 
 
 def test_quick_rejection_without_a_line_does_not_attract_calls() -> None:
     proxy = ControllerHost()
     proxy.call(first=0)
-    assert sends(proxy.ended(1, A, Ending.FULL, no_line=True)) == [B]
+    assert sends(proxy.report_end(1, A, Ending.FULL, no_line=True)) == [B]
     proxy.report_answer(1, B, attempt=1)
     assert sends(proxy.call(first=0)) == [B]
 
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -26,7 +26,7 @@
     """Guards against pauses below the 3 s between local calls: 286 softswitches kept pools full (i5a030c)."""
     proxy = _busy()
     proxy.call(first=0)
-    proxy.ended(proxy.count, "p0", Ending.FULL, processor_full=True)
+    proxy.report_end(proxy.count, "p0", Ending.FULL, processor_full=True)
     interval = proxy.controller._state.local_interval_us(proxy.controller._state.pools["p0"])
     assert 2_000_000 < interval < 4_500_000
     pause = proxy.controller._state.pools["p0"].trial_at - proxy.now
@@ -71,7 +71,7 @@
         for server in (servers := sends(proxy.call(first=0))):
             count += server == "p0"
             proxy.report_answer(proxy.count, server, 50_000)
-            proxy.ended(proxy.count, server, Ending.ENDED, call_over=True)
+            proxy.report_end(proxy.count, server, Ending.ENDED, call_over=True)
         assert len(servers) == 1
     assert 1 <= count <= 25  # (92 - 50 reserved) / 280 of 60 reports is 9
 
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -18,7 +18,7 @@
     token = 2
     assert not finals(proxy.handle_event(api.TimerDue(token), 2_000_000 - margin - 1))
     assert finals(proxy.handle_event(api.TimerDue(token), 1)) == [api.Fail("c1")]
-    assert not finals(proxy.ended(1, A, Ending.CANCELLED))
+    assert not finals(proxy.report_end(1, A, Ending.CANCELLED))
     assert not finals(proxy.handle_event(api.TimerDue(token), 1))
 
 
@@ -26,7 +26,7 @@
     proxy = ControllerHost()
     proxy.call()
     proxy.handle_event(api.CallGone("c1"))
-    assert proxy.ended(1, A, Ending.FULL, no_line=True) == []
+    assert proxy.report_end(1, A, Ending.FULL, no_line=True) == []
     assert proxy.handle_event(api.CallGone("c1")) == []
 
 
@@ -40,16 +40,16 @@
 def test_attempts_end_at_the_limit() -> None:
     proxy = ControllerHost(max_attempts=2)
     proxy.call()
-    assert sends(proxy.ended(1, A, Ending.UNREACHABLE)) == [B]
-    assert finals(proxy.ended(1, B, Ending.UNREACHABLE, attempt=1)) == [api.Fail("c1")]
+    assert sends(proxy.report_end(1, A, Ending.UNREACHABLE)) == [B]
+    assert finals(proxy.report_end(1, B, Ending.UNREACHABLE, attempt=1)) == [api.Fail("c1")]
 
 
 def test_a_call_that_two_servers_fail_is_failed_and_ejects_neither() -> None:
     proxy = ControllerHost()
     for number in range(1, 6):
         assert sends(proxy.call(first=0)) == [A]
-        assert sends(proxy.ended(number, A, Ending.ERROR)) == [B]
-        assert finals(proxy.ended(number, B, Ending.ERROR, attempt=1)) == [api.Fail(f"c{number}")]
+        assert sends(proxy.report_end(number, A, Ending.ERROR)) == [B]
+        assert finals(proxy.report_end(number, B, Ending.ERROR, attempt=1)) == [api.Fail(f"c{number}")]
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
@@ -70,7 +70,7 @@
 def test_release_time_is_awaited_to_the_microsecond() -> None:
     proxy = ControllerHost(entry(A, 0))
     proxy.call()
-    actions = proxy.ended(1, A, Ending.TIMED_OUT)
+    actions = proxy.report_end(1, A, Ending.TIMED_OUT)
     assert not sends(actions)
     timer = own_timer(actions)
     assert timer.after_us == 300_000
@@ -81,7 +81,7 @@
 def test_call_fails_at_once_where_too_little_patience_is_left_after_the_release() -> None:
     proxy = ControllerHost(entry(A, 0))
     proxy.call(patience=1_000_000)
-    assert finals(proxy.ended(1, A, Ending.TIMED_OUT, after=700_000)) == [api.Fail("c1")]
+    assert finals(proxy.report_end(1, A, Ending.TIMED_OUT, after=700_000)) == [api.Fail("c1")]
 
 
 def test_cold_budget_over_every_window() -> None:
@@ -173,4 +173,4 @@
     classes = (api.CallClass(AIM, 6_000_000, repeatable=False),)
     proxy = ControllerHost(classes=classes)
     proxy.call()
-    assert finals(proxy.ended(1, A, Ending.ERROR)) == [api.Fail("c1")]
+    assert finals(proxy.report_end(1, A, Ending.ERROR)) == [api.Fail("c1")]
