--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -78,7 +78,9 @@
             else:
                 self.handle_event(api.CallGone(name))
 
-    def serve(self, count: int, server: str, first: int, gap: int = 200_000, delay: int = 50_000) -> None:
+    def complete_calls(
+        self, count: int, server: str, first: int, gap: int = 200_000, delay: int = 50_000
+    ) -> None:
         """Let calls arrive, stand and end, so that the pool's usual delay and rate are known."""
         for _ in range(count):
             sent = self.call(first)
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -56,7 +56,7 @@
 def test_overtaken_attempt_is_cancelled_and_sent_again() -> None:
     """Guards against a server that never answers a fifth of its set-ups (incident i6862c8)."""
     proxy = ControllerHost(entry(A, 0))
-    proxy.serve(10, A, 0)
+    proxy.complete_calls(10, A, 0)
     token = own_timer(proxy.call()).token
     lost = proxy.count
     proxy.now += 10_000
@@ -115,7 +115,7 @@
 
 def test_calls_go_to_the_slow_pool_while_the_other_drains() -> None:
     proxy = ControllerHost()
-    proxy.serve(5, B, 1)
+    proxy.complete_calls(5, B, 1)
     proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.DRAINING),)))
     for _ in range(2):
         proxy.call(first=0, kind=1)
@@ -150,7 +150,7 @@
         proxy.handle_event(api.PoolList(api.ListKind.CACHED, (entry(A, 0), entry(B, 1))))
         proxy.now += number * interval_us // fleet
         for index in range(16_000_000 // interval_us):
-            proxy.serve(1, (A, B)[index % 2], index % 2, gap=interval_us)
+            proxy.complete_calls(1, (A, B)[index % 2], index % 2, gap=interval_us)
         proxies.append(proxy)
     listed_at = max(proxy.now for proxy in proxies)
     sent = []
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -21,7 +21,7 @@
     proxy = ControllerHost()
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [B], []]
     proxy.serve_out()
-    proxy.serve(20, A, 0)
+    proxy.complete_calls(20, A, 0)
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [A], [B]]
 
 
@@ -65,7 +65,7 @@
 
 def test_queuing_delay_closes_the_gate_until_it_has_decayed() -> None:
     proxy = ControllerHost()
-    proxy.serve(10, A, 0)
+    proxy.complete_calls(10, A, 0)
     assert sends(proxy.call(0)) == [A]
     proxy.now += 700_000
     proxy.report_answer(proxy.count, A, 700_000)
@@ -76,7 +76,7 @@
 
 def test_oldest_unanswered_set_up_counts_as_delay() -> None:
     proxy = ControllerHost()
-    proxy.serve(10, A, 0)
+    proxy.complete_calls(10, A, 0)
     proxy.call(0)
     proxy.now += 500_000
     assert sends(proxy.call(0)) == [B]
@@ -84,7 +84,7 @@
 
 def test_an_overtaken_set_up_closes_no_gate() -> None:
     proxy = ControllerHost()
-    proxy.serve(100, A, first=0, gap=100_000)
+    proxy.complete_calls(100, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
     proxy.now += 10_000
     assert sends(proxy.call()) == [A]
@@ -96,7 +96,7 @@
 
 def test_a_connection_fault_does_not_affect_its_pool() -> None:
     proxy = ControllerHost()
-    proxy.serve(30, A, first=0, gap=100_000)
+    proxy.complete_calls(30, A, first=0, gap=100_000)
     assert sends(proxy.call()) == [A]
     proxy.report_end(proxy.count, A, api.Ending.RESET, is_connection_fault=True)
     assert sends(proxy.call()) == sends(proxy.call()) == [A]
@@ -139,7 +139,7 @@
 
 def test_growth_of_the_limit_is_bounded_in_a_surge() -> None:
     proxy = ControllerHost(entry(A, 0))
-    proxy.serve(20, A, 0)
+    proxy.complete_calls(20, A, 0)
     proxy.call()
     before = proxy.controller._state.pools[A].limit
     for _ in range(500):
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -18,7 +18,7 @@
             api.PoolReport(f"p{number}", Ending.ENDED, 0, {"free_lines": 1000.0, "lines": 1000.0})
         )
     for number in range(40):
-        proxy.serve(1, f"p{number % 10}", number % 10, gap=300_000)
+        proxy.complete_calls(1, f"p{number % 10}", number % 10, gap=300_000)
     return proxy
 
 
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -87,7 +87,7 @@
 def test_cold_budget_over_every_window() -> None:
     started = 100_000_000
     proxy = ControllerHost(entry(A, 0), entry(B, 1, started=started), now=started)
-    proxy.serve(30, A, 0, gap=100_000)
+    proxy.complete_calls(30, A, 0, gap=100_000)
     rate = proxy.controller._state.warm_rate
     sent_at: list[int] = []
     while proxy.now < started + 10_000_000:
@@ -116,7 +116,7 @@
     proxy = ControllerHost(entry(A, 0), entry(B, 1))
     proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     proxy.handle_event(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 50.0, "lines": 50.0}))
-    proxy.serve(60, A, 0, gap=100_000)
+    proxy.complete_calls(60, A, 0, gap=100_000)
     counts = []
     for server, cell in ((A, 0), (B, 1)):
         proxy.now += 100_000
@@ -138,11 +138,11 @@
     """Guards against one call per window for a new server that answers before it has reported its size."""
     proxy = ControllerHost(entry(A, 0))
     proxy.handle_event(api.PoolReport(A, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
-    proxy.serve(60, A, 0, gap=100_000)
+    proxy.complete_calls(60, A, 0, gap=100_000)
     proxy.handle_event(
         api.PoolList(api.ListKind.CHANGES, (entry(A, 0, State.GONE), entry(B, 1, started=proxy.now)))
     )
-    proxy.serve(1, B, 1, gap=4_000_000)
+    proxy.complete_calls(1, B, 1, gap=4_000_000)
     proxy.handle_event(api.PoolReport(B, Ending.ENDED, 0, {"free_lines": 500.0, "lines": 500.0}))
     for _ in range(3):
         assert sends(proxy.call(first=1)) == [B]
@@ -151,7 +151,7 @@
 
 def test_server_restarted_under_the_same_id_is_cold_and_a_warm_one_is_not() -> None:
     proxy = ControllerHost(entry(A, 0))
-    proxy.serve(20, A, 0)
+    proxy.complete_calls(20, A, 0)
     assert [len(sends(proxy.call())) for _ in range(2)] == [1, 1]
     proxy.report_answer(21, A)
     proxy.report_answer(22, A)
