--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -67,7 +67,7 @@
         told: dict[str, Any] = more
         return self.handle_event(api.AttemptEnded(f"c{number}", attempt, server, ending, **told), after)
 
-    def serve_out(self) -> None:
+    def complete_open_calls(self) -> None:
         """Let all set-ups that are out stand and end at once."""
         for name, call in list(self.controller._calls._calls.items()):
             if call.current_attempt >= 0:
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -20,7 +20,7 @@
 def test_outstanding_count_closes_the_gate_and_another_pool_is_chosen() -> None:
     proxy = ControllerHost()
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [B], []]
-    proxy.serve_out()
+    proxy.complete_open_calls()
     proxy.complete_calls(20, A, 0)
     assert [sends(proxy.call(first=0)) for _ in range(3)] == [[A], [A], [B]]
 
@@ -108,7 +108,7 @@
         gone, new = f"a:{number}" if number else A, f"a:{number + 1}"
         proxy.handle_event(api.PoolList(api.ListKind.CHANGES, (entry(gone, 0, State.GONE), entry(new, 0))))
         proxy.call()
-        proxy.serve_out()
+        proxy.complete_open_calls()
         proxy.now += 3_000_000
     assert len(proxy.controller._state.pools) <= 3
 
