--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -107,6 +107,6 @@
     return [action for action in actions if isinstance(action, api.SetTimer)]
 
 
-def own_timer(actions: list[api.Action]) -> api.SetTimer:
+def call_timer(actions: list[api.Action]) -> api.SetTimer:
     """The timer of a call, not the shared pulse of held calls."""
     return next(timer for timer in timers(actions) if timer.token > 1)
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -11,10 +11,10 @@
     A,
     B,
     ControllerHost,
+    call_timer,
     cancels,
     entry,
     finals,
-    own_timer,
     sends,
     settings,
     timers,
@@ -27,7 +27,7 @@
     proxy = ControllerHost(entry(A, 0), entry(B, 1))
     first = proxy.call(patience=9_000_000)
     proxy.call(patience=9_000_000)
-    token = own_timer(first).token
+    token = call_timer(first).token
     proxy.handle_event(api.TimerDue(token), int(lifecycle.SILENT_AFTER * AIM))
     assert proxy.controller._state.pools[A].is_ejected
     proxy.report_end(1, A, Ending.TIMED_OUT, call_over=True)
@@ -57,7 +57,7 @@
     """Guards against a server that never answers a fifth of its set-ups (incident i6862c8)."""
     proxy = ControllerHost(entry(A, 0))
     proxy.complete_calls(10, A, 0)
-    token = own_timer(proxy.call()).token
+    token = call_timer(proxy.call()).token
     lost = proxy.count
     proxy.now += 10_000
     proxy.call()
@@ -109,7 +109,7 @@
     actions = proxy.call(patience=3_000_000)
     assert not sends(actions)
     assert finals(
-        proxy.handle_event(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))
+        proxy.handle_event(api.TimerDue(call_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))
     ) == [api.Refuse("c1", int(lifecycle.STAY_AWAY * AIM))]
 
 
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -6,7 +6,7 @@
 
 from pearloom import interface as api
 from pearloom.policy import health, lifecycle, limits
-from tests.helpers import AIM, A, B, ControllerHost, entry, finals, own_timer, sends
+from tests.helpers import AIM, A, B, ControllerHost, call_timer, entry, finals, sends
 
 Ending, State = api.Ending, api.PoolState
 
@@ -31,7 +31,7 @@
     proxy.call()
     actions = proxy.call()
     assert not sends(actions) and not finals(actions)
-    timer = own_timer(actions)
+    timer = call_timer(actions)
     assert timer.after_us == int(lifecycle.HOLD_TIME * AIM)
     assert not finals(proxy.handle_event(api.TimerDue(timer.token), timer.after_us - 1))
     assert finals(proxy.handle_event(api.TimerDue(timer.token), 1)) == [
@@ -48,7 +48,7 @@
     proxy = ControllerHost(entry(A, 0), most_stay_away_us=most_us)
     proxy.call()
     proxy.call()
-    timer = own_timer(proxy.call())
+    timer = call_timer(proxy.call())
     assert finals(proxy.handle_event(api.TimerDue(timer.token), timer.after_us)) == [
         api.Refuse("c3", wait_us)
     ]
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -4,7 +4,7 @@
 
 from pearloom import interface as api
 from pearloom.policy import gate, health, lifecycle
-from tests.helpers import AIM, A, ControllerHost, entry, finals, own_timer, sends
+from tests.helpers import AIM, A, ControllerHost, call_timer, entry, finals, sends
 
 Ending, State = api.Ending, api.PoolState
 
@@ -95,7 +95,7 @@
     for _ in range(50):
         actions = proxy.call()
         assert finals(
-            proxy.handle_event(api.TimerDue(own_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))
+            proxy.handle_event(api.TimerDue(call_timer(actions).token), int(lifecycle.HOLD_TIME * AIM))
         )
     assert sum(len(queue) for queue in proxy.controller._calls._held) <= 1
 
--- a/tests/policy/test_limits_of_rules.py
+++ b/tests/policy/test_limits_of_rules.py
@@ -6,7 +6,7 @@
 
 from pearloom import interface as api
 from pearloom.policy import lifecycle, routes, state
-from tests.helpers import AIM, A, B, ControllerHost, entry, finals, own_timer, sends
+from tests.helpers import AIM, A, B, ControllerHost, call_timer, entry, finals, sends
 
 Ending, State = api.Ending, api.PoolState
 
@@ -72,7 +72,7 @@
     proxy.call()
     actions = proxy.report_end(1, A, Ending.TIMED_OUT)
     assert not sends(actions)
-    timer = own_timer(actions)
+    timer = call_timer(actions)
     assert timer.after_us == 300_000
     assert not sends(proxy.handle_event(api.TimerDue(timer.token), 299_999))
     assert sends(proxy.handle_event(api.TimerDue(timer.token), 1)) == [A]
