--- a/tests/player.py
+++ b/tests/player.py
@@ -70,7 +70,7 @@
     return stack[0][0]
 
 
-def read(path: Path) -> list[list[str]]:
+def read_recording(path: Path) -> list[list[str]]:
     """The lines of a recording: who, verb, rest."""
     lines: list[str] = []
     for line in path.read_text().splitlines():
@@ -176,7 +176,7 @@
         return read_config({"BALANCER_CONFIG": str(path)})
 
     def play(self, path: Path) -> None:
-        for who, verb, rest in read(path):
+        for who, verb, rest in read_recording(path):
             try:
                 with gevent.Timeout(PATIENCE_S, TimeoutError("nothing came")):
                     self.step(who, verb, rest)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -17,7 +17,7 @@
 from pearloom.settings import flatten, read_settings
 from pearloom.sip import codec as sip
 from pearloom.sip.link import refusal
-from tests.player import SETTINGS, encode, read
+from tests.player import SETTINGS, encode, read_recording
 from tests.test_exchanges import RECORDINGS
 
 DECODERS: dict[str, Any] = {"c": isup.Decoder, "s": sip.Decoder, "co": coordinator.Decoder}
@@ -28,7 +28,7 @@
     data = b""
     for path in RECORDINGS:
         is_skipped = any(word in path.stem for word in ("malformed", "long", "half_sent"))
-        for peer, verb, rest in [] if is_skipped else read(path):
+        for peer, verb, rest in [] if is_skipped else read_recording(path):
             if verb == ">" and peer.rstrip("0123456789") == peer_type:
                 data += encode(re.sub(r"{a\d}", "7f000001", re.sub(r"{p\d}", "1f90", rest)))
     return data
