--- a/tests/player.py
+++ b/tests/player.py
@@ -205,18 +205,18 @@
             self.datagrams[who] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             self.datagrams[who].connect(self.front)
         elif verb == ">" and who in self.datagrams:
-            self.datagrams[who].send(encode(self.filled(rest)))
+            self.datagrams[who].send(encode(self.substitute(rest)))
         elif verb == "<" and who in self.datagrams:
-            self.hear(who, self.filled(rest))
+            self.hear(who, self.substitute(rest))
         elif verb == "opens" and who not in self.listeners:
             address = self.operated if who.startswith("m") else self.address
             self.peers[who] = socket.create_connection(address)
         elif verb == "opens":
             self.peers[rest or who] = self.listeners[who].accept()[0]
         elif verb == ">":
-            self.peers[who].sendall(encode(self.filled(rest)))
+            self.peers[who].sendall(encode(self.substitute(rest)))
         elif verb == "<":
-            self.expect(self.peers[who], encode(self.filled(rest)))
+            self.expect(self.peers[who], encode(self.substitute(rest)))
         elif verb == "ends":
             self.peers[who].shutdown(socket.SHUT_WR)
         elif verb == "resets":
@@ -251,7 +251,7 @@
         listener.listen(0)
         self.fill = [socket.create_connection(self.addresses[who])]
 
-    def filled(self, text: str) -> str:
+    def substitute(self, text: str) -> str:
         for number in range(1, SERVERS + 1):
             host, port = self.addresses[f"s{number}"]
             text = text.replace(f"{{a{number}}}", socket.inet_aton(host).hex())
--- a/tests/races/test_coordinator.py
+++ b/tests/races/test_coordinator.py
@@ -22,7 +22,7 @@
     monkeypatch.setattr(coordinator, "FRAME_TIMEOUT_S", 0.2)
     harness.play_steps(("co", "opens", ""), ("co", "<", REQUEST_FROM_1), ("co", ">", "[0000000000000000 00]"))
     first_stream = harness.peers["co"]
-    frame = encode(harness.filled(f"[0000000000000002 {DRAINING_1}]"))
+    frame = encode(harness.substitute(f"[0000000000000002 {DRAINING_1}]"))
 
     def trickle() -> None:
         for byte in frame[:-1]:
@@ -38,7 +38,7 @@
 
 def test_a_frame_cut_by_a_move_of_the_coordinator_is_requested_again(harness: Harness) -> None:
     harness.play_steps(("co", "opens", ""), ("co", "<", REQUEST_FROM_1))
-    frame = encode(harness.filled(f"[0000000000000002 {DRAINING_1}]"))
+    frame = encode(harness.substitute(f"[0000000000000002 {DRAINING_1}]"))
     harness.peers["co"].sendall(frame[:20])
     harness.settle()
     harness.play_steps(("sighup", "cp", ""), ("cp", "opens", ""), ("cp", "<", REQUEST_FROM_1))
