--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -157,12 +157,12 @@
     for proxy in proxies:
         proxy.now = listed_at
         changes = (entry(A, 0, State.DRAINING), entry(B, 1, started=listed_at))
-        proxy.tell(api.PoolList(api.ListKind.CHANGES, changes))
+        proxy.handle_event(api.PoolList(api.ListKind.CHANGES, changes))
         while proxy.now < listed_at + 4_000_000:
             for action in proxy.call(first=1):
                 if isinstance(action, api.SendSetUp):
                     sent.append(proxy.now)
-                    proxy.tell(api.CallStands(action.call, 0, action.server, 0))
+                    proxy.handle_event(api.CallStands(action.call, 0, action.server, 0))
             proxy.now += 100_000
     most = max(sum(at - window_us < other <= at for other in sent) for at in sent)
     assert 0.3 * capacity * 2 * cold_share <= most <= fall_multiple * cold_share * capacity * window_us / 1e6
