--- a/pearloom/sip/trunk.py
+++ b/pearloom/sip/trunk.py
@@ -256,8 +256,7 @@
         """A connection has ended, and with it its unanswered set-ups, but no established call."""
         self._links.remove(link)
         if reason != "done":
-            # `open`: set-ups that ended with it. A server that closes new connections at once shows as many
-            # of these events with spoke=False (no message ever came) and a low age.
+            # `open`: set-ups ended with it. Many with spoke=False and a low age: the server closes at once.
             has_spoken, age_ms = link.last_message_ms > link.opened_ms, round(self.now_ms - link.opened_ms)
             log_event(
                 logging.INFO, "server_closed", server=self.name, reason=reason, open=len(link.unanswered),
@@ -306,8 +305,7 @@
         if is_gone and self.now_ms - self._links.last_message_ms() >= SILENT_MS:
             self._on_lost("gone")
         elif not is_gone and self._liveness.is_silent(self.now_ms):
-            # A vanished machine's connections stay open without a message, as do those of one whose processor
-            # hangs; only a new connection, which is never established, tells the two apart.
+            # Hung and vanished machines leave connections open; only a vanished one accepts no new one.
             self._links.close_spare()
             self.dial()
 
@@ -374,7 +372,6 @@
         elif self._exchange.has_call(call) or self._exchange.is_recently_ended(call):
             number, sequence = "unknown", 1
         else:
-            # An answer to a call that this softswitch does not know.
             self._directory.counters.add("unknown_from_servers")
             log_event(
                 logging.WARNING, "server_unknown_call", server=self.name, call=call, status=response.status
