--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Hand-written events for tests of the decision module; no model of servers."""
+"""Hand-written events for tests of the decision module, without any simulated server."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    told: dict[str, object] = {
+    fields: dict[str, object] = {
         "classes": (
             api.CallClass(aim_us=AIM, deadline_us=6_000_000, worth=1, late_worth=0.2),
             api.CallClass(aim_us=AIM, deadline_us=6_000_000, worth=8),
@@ -28,7 +28,7 @@
         "max_attempts": 5,
         "may_cancel": True,
     }
-    return api.Settings(**(told | changes))  # type: ignore[arg-type]
+    return api.Settings(**(fields | changes))  # type: ignore[arg-type]
 
 
 def entry(
@@ -38,7 +38,7 @@
 
 
 class ControllerHost:
-    """A controller with the bookkeeping that tests need."""
+    """Hosts a controller in a test: keeps its time in microseconds and numbers the calls."""
 
     def __init__(self, *entries: api.PoolEntry, now: int = 100_000_000, **changes: object) -> None:
         self.controller = Controller(settings(**changes), 7)
@@ -64,11 +64,11 @@
     def report_end(
         self, number: int, server: str, ending: api.Ending, attempt: int = 0, after: int = 0, **more: object
     ) -> list[api.Action]:
-        told: dict[str, Any] = more
-        return self.handle_event(api.AttemptEnded(f"c{number}", attempt, server, ending, **told), after)
+        fields: dict[str, Any] = more
+        return self.handle_event(api.AttemptEnded(f"c{number}", attempt, server, ending, **fields), after)
 
     def complete_open_calls(self) -> None:
-        """Let all set-ups that are out stand and end at once."""
+        """Answer and end the calls with an attempt out; the callers of all others give up."""
         for name, call in list(self.controller._calls._calls.items()):
             if call.current_attempt >= 0:
                 self.handle_event(api.CallStands(name, call.current_attempt, call.server, 50_000))
@@ -81,7 +81,7 @@
     def complete_calls(
         self, count: int, server: str, first: int, gap: int = 200_000, delay: int = 50_000
     ) -> None:
-        """Let calls arrive, stand and end, so that the pool's usual delay and rate are known."""
+        """Let calls arrive, be answered and end, so that the pool's usual delay and rate are known."""
         for _ in range(count):
             sent = self.call(first)
             assert sends(sent) == [server]
@@ -108,5 +108,5 @@
 
 
 def call_timer(actions: list[api.Action]) -> api.SetTimer:
-    """The timer of a call, not the shared pulse of held calls."""
+    """Return the timer of one call, not the timer that all held calls share."""
     return next(timer for timer in timers(actions) if timer.token > 1)
