--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -1,7 +1,7 @@
 """What a whole fleet sends a cold session server: `python -m benchmarks.cold_starts [DRAWS]`.
 
-For each size of fleet and third of the ramp: how full the fullest window of a draw was, 1 being where the
-server falls. Processes differ in load, some were restarted just now, some are told of the start late.
+Prints, for each fleet size and third of the ramp, how full the fullest window of a draw was; at 1 the server
+is overloaded. Processes differ in load, some have just restarted, some learn of the server's start late.
 """
 
 from __future__ import annotations
@@ -31,34 +31,34 @@
     (30, 24, 4.5),
     (60, 24, 4.5),
     (200, 24, 4.5),
-)  # processes, servers, calls a s
+)  # processes, servers, calls per second
 THIRDS = ("beginning", "middle", "end")
 DRAWS = 1_000
-AT_ONCE = 4
+WORKERS = 4
 
 
-def fills(fleet: Fleet, seed: int) -> list[float]:
-    """The fullest window of each third of the ramp."""
-    most = [0.0] * len(THIRDS)
+def fullest_windows(fleet: Fleet, seed: int) -> list[float]:
+    """Return how full the fullest window of each third of the ramp was."""
+    fullest = [0.0] * len(THIRDS)
     for window in play(fleet, seed):
         third = min(window.begins_us * len(THIRDS) // fleet.settings.warm_after_us, len(THIRDS) - 1)
-        most[third] = max(most[third], window.fill)
-    return most
+        fullest[third] = max(fullest[third], window.fill)
+    return fullest
 
 
 def main(draws: int) -> None:
-    """Print the table, a size at a time."""
+    """Print one table for each fleet size."""
     console = Console(width=100)
-    with ProcessPoolExecutor(AT_ONCE) as pool:
+    with ProcessPoolExecutor(WORKERS) as pool:
         for processes, servers, per_s in SIZES:
             table = Table("processes", "third", "median", "99 in 100", "worst", f"over 1, of {draws}")
             fleet = Fleet(replace(SETTINGS, fleet_size=processes), processes, servers, per_s)
-            found = zip(*pool.map(partial(fills, fleet), range(draws), chunksize=4), strict=True)
-            for third, each in zip(THIRDS, found, strict=True):
-                ranked = sorted(each)
-                shown = (ranked[draws // 2], ranked[draws * 99 // 100], ranked[-1])
-                over = sum(one > 1 for one in ranked)
-                table.add_row(str(processes), third, *(f"{one:.2f}" for one in shown), str(over))
+            results = zip(*pool.map(partial(fullest_windows, fleet), range(draws), chunksize=4), strict=True)
+            for third, values in zip(THIRDS, results, strict=True):
+                ranked = sorted(values)
+                quantiles = (ranked[draws // 2], ranked[draws * 99 // 100], ranked[-1])
+                overloads = sum(value > 1 for value in ranked)
+                table.add_row(str(processes), third, *(f"{value:.2f}" for value in quantiles), str(overloads))
             console.print(table)
 
 
--- a/benchmarks/guards/guard.py
+++ b/benchmarks/guards/guard.py
@@ -1,4 +1,4 @@
-"""What one guard is."""
+"""The record of one guard."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """One guard: what stands in the code, what takes its place, and who is to notice."""
+    """A guard: its code, the replacement that removes it, and the tests that have to fail without it."""
 
     name: str
     file: str  # below pearloom/
--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -1,8 +1,8 @@
 """What a call costs by the protocols of its two sides: `python -m benchmarks.iax2 [--rate N] [--seconds N]`.
 
-Processor time of the softswitch's process a call (set-up, answer, release), each pair in turn within one
-run and as a ratio to binary to SIP; the turns are repeated and the median is told. Then memory a standing
-call.
+Prints the softswitch's processor time per call (set-up, answer, release) for each pair of protocols, and the
+ratio to the pair binary to SIP. All pairs are measured one after the other, in several rounds; the median of
+the rounds is printed, then the memory per established call.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 PAIRS = (("binary", "sip"), ("binary", "iax2"), ("iax2", "sip"), ("iax2", "iax2"))
 STEADY = Manner(after_ms=(5.0, 20.0), holds_ms=500.0)
 LONG = Manner(after_ms=(5.0, 20.0), holds_ms=3_600_000.0)
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def _stage(pair: tuple[str, str], manner: Manner, seed: int) -> Stage:
+def _start_stage(pair: tuple[str, str], manner: Manner, seed: int) -> Stage:
     servers = (manner, manner)
     stage = Stage(seed, sip=servers if pair[1] == "sip" else (), iax2=servers if pair[1] == "iax2" else ())
     stage.start()
@@ -35,7 +35,7 @@
 def _cpu_s(stage: Stage) -> float:
     assert stage.process is not None
     fields = Path(f"/proc/{stage.process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def _memory_kb(stage: Stage) -> float:
@@ -47,62 +47,66 @@
     )
 
 
-def cpu_ms_a_call(pair: tuple[str, str], rate: float, seconds: float, seed: int) -> float:
-    """Milliseconds of processor time a call, what an idle process takes in that time left out."""
-    stage = _stage(pair, STEADY, seed)
+def cpu_ms_per_call(pair: tuple[str, str], rate: float, seconds: float, seed: int) -> float:
+    """Return milliseconds of processor time per call, less what the idle process takes in the same time."""
+    stage = _start_stage(pair, STEADY, seed)
     try:
-        stage.play(rate, 2.0, leaves=0.0)  # gates find their limits
+        stage.play(rate, 2.0, leaves=0.0)  # lets the gates find their limits
         stage.settle(10.0)
         before = _cpu_s(stage)
         gevent.sleep(seconds)
         idle = _cpu_s(stage) - before
-        stood = sum(one.what is What.STANDS for one in stage.journal.entries)
+        answered_before = sum(entry.what is What.STANDS for entry in stage.journal.entries)
         before = _cpu_s(stage)
         stage.play(rate, seconds, leaves=0.0)
         busy = _cpu_s(stage) - before
-        calls = sum(one.what is What.STANDS for one in stage.journal.entries) - stood
+        calls = sum(entry.what is What.STANDS for entry in stage.journal.entries) - answered_before
     finally:
         stage.close()
     if calls < 0.95 * rate * seconds:
-        raise SystemExit(f"{pair}: only {calls} of {rate * seconds:.0f} calls stood: the figure says nothing")
+        raise SystemExit(
+            f"{pair}: only {calls} of {rate * seconds:.0f} calls were answered; the measurement is not valid"
+        )
     return (busy - idle) * 1000.0 / calls
 
 
-def memory_kb_a_call(pair: tuple[str, str], calls: int, seed: int) -> float:
-    """KiB of resident memory a standing call."""
-    stage = _stage(pair, LONG, seed)
+def memory_kb_per_call(pair: tuple[str, str], calls: int, seed: int) -> float:
+    """Return KiB of resident memory per established call."""
+    stage = _start_stage(pair, LONG, seed)
     try:
         stage.play(200, 1.0, leaves=0.0)
         gevent.sleep(1.0)
-        before, stood = _memory_kb(stage), sum(one.standing for one in stage.servers)
+        before, established = _memory_kb(stage), sum(server.standing for server in stage.servers)
         stage.play(200, calls / 200, leaves=0.0)
         gevent.sleep(2.0)
-        return (_memory_kb(stage) - before) / (sum(one.standing for one in stage.servers) - stood)
+        return (_memory_kb(stage) - before) / (sum(server.standing for server in stage.servers) - established)
     finally:
         stage.close()
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure all pairs and print one line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rate", type=float, default=150.0)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--turns", type=int, default=3)
     parser.add_argument("--standing", type=int, default=3000)
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     costs: dict[tuple[str, str], list[float]] = {pair: [] for pair in PAIRS}
-    for turn in range(told.turns):
+    for round_number in range(arguments.turns):
         for pair in PAIRS:
-            costs[pair].append(cpu_ms_a_call(pair, told.rate, told.seconds, 10 * turn + 1))
+            costs[pair].append(
+                cpu_ms_per_call(pair, arguments.rate, arguments.seconds, 10 * round_number + 1)
+            )
     base = costs[PAIRS[0]]
-    print(f"{'pair':18}{'ms a call':>12}{'lowest':>9}{'highest':>9}{'ratio':>8}{'KiB a standing call':>22}")
+    print(f"{'pair':18}{'ms per call':>12}{'lowest':>9}{'highest':>9}{'ratio':>8}{'KiB a call':>12}")
     for pair in PAIRS:
-        ratio = median(one / other for one, other in zip(costs[pair], base, strict=True))
-        memory = memory_kb_a_call(pair, told.standing, 5)
+        ratio = median(cost / base_cost for cost, base_cost in zip(costs[pair], base, strict=True))
+        memory = memory_kb_per_call(pair, arguments.standing, 5)
         name = " to ".join(pair)
         print(
             f"{name:18}{median(costs[pair]):12.3f}{min(costs[pair]):9.3f}{max(costs[pair]):9.3f}"
-            f"{ratio:8.2f}{memory:22.2f}"
+            f"{ratio:8.2f}{memory:12.2f}"
         )
 
 
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -1,8 +1,8 @@
-"""Rollouts in simulated time: calls and time to the halt of a regress, and false halts of harmless ones.
+"""Rollouts in simulated time: calls and time until a regression halts, and false halts of harmless rules.
 
 python -m benchmarks.rollouts [DAYS]
 
-The real tally, join and test on made-up days (`pearloom/fakes/fleet/days.py`); a plot goes to `found/`.
+Runs the real counts, merge and test on simulated days (`pearloom/fakes/fleet/days.py`); plots into `found/`.
 """
 
 from __future__ import annotations
@@ -21,37 +21,37 @@
 from pearloom.fakes.fleet.days import Day, Played, play_day
 
 RATE = 0.01
-BASE = (0.01, 0.02, 0.002)  # late, refused, failed
-REGRESSES = (1 / 20, 1 / 50, 1 / 100)  # more failures, in one class of two
+BASE = (0.01, 0.02, 0.002)  # shares of calls: late, refused, failed
+REGRESSIONS = (1 / 20, 1 / 50, 1 / 100)  # added share of failed calls, in one class of two
 MANY = Day(softswitches=200, inside=20, per_s=2.0, base=BASE, lasts_s=120)
 FEW = Day(softswitches=24, inside=1, per_s=10.0, base=BASE, lasts_s=120)
-NULLS = {
+HARMLESS = {
     "quiet": MANY,
     "surges, more in one zone": replace(MANY, surge=0.3),
     "surges, a stage of one": replace(FEW, surge=0.3),
     "a burst of ten at the stage": replace(FEW, burst=10),
 }
-REPEATS = 12  # of each regress
+REPEATS = 12  # of each regression
 
 
-def regresses() -> list[tuple[str, float, Day]]:
-    """Each regress at mean and at the busiest traffic, at two sizes; the stage is a tenth."""
-    found = []
+def regressions() -> list[tuple[str, float, Day]]:
+    """Return each regression at mean and at peak traffic and two fleet sizes; the stage is a tenth."""
+    cases = []
     for fleet in (200, 1_000):
-        for worse in REGRESSES:
+        for worse in REGRESSIONS:
             for busier, name in ((1.0, "mean"), (3.0, "busiest")):
                 day = Day(fleet, fleet // 10, 1.0, BASE, worse, lasts_s=900, busier=busier)
-                found.append((f"{fleet}, {name}", worse, day))
-    return found
+                cases.append((f"{fleet}, {name}", worse, day))
+    return cases
 
 
-def played(day: Day, seed: int) -> Played:
-    """In a process of its own."""
+def simulate_day(day: Day, seed: int) -> Played:
+    """Play one day; a top-level function, so that a worker process can run it."""
     return play_day(day, seed, RATE)
 
 
 def plot(curves: dict[str, list[float]]) -> Path:
-    """Share of the repeats that were halted by then."""
+    """Plot the share of repeats halted over time; return the path of the plot."""
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
@@ -60,7 +60,7 @@
         axes.step(
             [0.0, *sorted(times)], [at / REPEATS for at in range(len(times) + 1)], where="post", label=name
         )
-    axes.set(xlabel="s after the stage began", ylabel="share halted", title="Time to the halt of a regress")
+    axes.set(xlabel="s after the stage began", ylabel="share halted", title="Time until a regression halts")
     axes.legend(fontsize=7)
     Path("found").mkdir(exist_ok=True)
     path = Path("found/rollouts.png")
@@ -69,21 +69,21 @@
 
 
 def main() -> None:
-    """Print both tables, and where the plot is."""
+    """Print both tables and the path of the plot."""
     days = int(sys.argv[1]) if len(sys.argv) > 1 else 1_000
     console, curves = Console(), dict[str, list[float]]()
     with ProcessPoolExecutor() as pool:
-        nulls = Table("rollouts that do no harm", "days", "false halts", "share", "stated")
-        for name, day in NULLS.items():
-            found = list(pool.map(partial(played, day), range(days), chunksize=8))
-            false = sum(one.halted_s is not None for one in found)
-            nulls.add_row(name, str(days), str(false), f"{false / days:.4f}", f"{RATE:g}")
-        console.print(nulls)
+        harmless = Table("harmless rollouts", "days", "false halts", "share", "stated")
+        for name, day in HARMLESS.items():
+            results = list(pool.map(partial(simulate_day, day), range(days), chunksize=8))
+            false_halts = sum(result.halted_s is not None for result in results)
+            harmless.add_row(name, str(days), str(false_halts), f"{false_halts / days:.4f}", f"{RATE:g}")
+        console.print(harmless)
         table = Table("softswitches, traffic", "fails more", "halted", "median s", "worst s", "median calls")
-        for name, worse, day in regresses():
-            found = list(pool.map(partial(played, day), range(REPEATS)))
-            times = [one.halted_s for one in found if one.halted_s is not None]
-            calls = [one.calls for one in found if one.halted_s is not None]
+        for name, worse, day in regressions():
+            results = list(pool.map(partial(simulate_day, day), range(REPEATS)))
+            times = [result.halted_s for result in results if result.halted_s is not None]
+            calls = [result.calls for result in results if result.halted_s is not None]
             curves[f"{name}, 1 in {round(1 / worse)}"] = times
             table.add_row(
                 name, f"1 in {round(1 / worse)}", f"{len(times)} of {REPEATS}",
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""What rules cost a call: the module alone, with no host, with no rules, and with 100 rules.
+"""What rules cost per call: the decision module without a routing table, with no rules, and with 100 rules.
 
 python -m benchmarks.routing
 """
@@ -10,7 +10,7 @@
 from random import Random
 
 from rich.console import Console
-from rich.table import Table as Shown
+from rich.table import Table as ResultTable
 
 from pearloom import interface as api
 from pearloom.interface import ListKind, PoolEntry, PoolState
@@ -19,54 +19,56 @@
 from pearloom.rules.table import LocalContext, RoutingTable
 from tests.streams import SETTINGS
 
-CALLS, TURNS = 4_000, 15
-PLACE = LocalContext(("a", "b", "c"), ("t", "u"), "z", {"z": frozenset({0, 1, 2}), "y": frozenset({3, 4})})
+CALLS, ROUNDS = 4_000, 15
+CONTEXT = LocalContext(("a", "b", "c"), ("t", "u"), "z", {"z": frozenset({0, 1, 2}), "y": frozenset({3, 4})})
 
 
-def hundred() -> RuleSet:
-    """As many as there may be, of all kinds, each matching some calls."""
+def maximum_rules() -> RuleSet:
+    """Return as many rules as are allowed, of all kinds, each matching some calls."""
     random, rules = Random(1), list[Rule]()
-    for at in range(MAX_RULES):
+    for index in range(MAX_RULES):
         cells = (random.randrange(5),)
-        effect = (Prefer(cells), Avoid(cells), Weigh(1.5, cells))[at % 3] if at % 13 else Cap(0.9, cells)
-        match = Match((random.choice(PLACE.classes),), first_choice=(random.randrange(5),))
-        rules.append(Rule(f"r{at}", effect, match))
+        effect = (
+            (Prefer(cells), Avoid(cells), Weigh(1.5, cells))[index % 3] if index % 13 else Cap(0.9, cells)
+        )
+        match = Match((random.choice(CONTEXT.classes),), first_choice=(random.randrange(5),))
+        rules.append(Rule(f"r{index}", effect, match))
     return RuleSet(rules=tuple(rules))
 
 
-def turn(table: RoutingTable | None) -> float:
-    """Microseconds a call: arrival, its attempt, and its end."""
+def measure(table: RoutingTable | None) -> float:
+    """Return microseconds per call: its arrival and the answer to its attempt."""
     random, controller = Random(2), Controller(SETTINGS, 1)
     entries = tuple(PoolEntry(f"s-{cell}", cell, PoolState.READY) for cell in range(5))
     controller.handle(0, api.PoolList(ListKind.CACHED, entries))
-    drawn = [
-        (f"{at:016x}", random.randrange(3), random.randrange(-1, 2), random.randrange(-1, 5))
-        for at in range(CALLS)
+    arrivals = [
+        (f"{index:016x}", random.randrange(3), random.randrange(-1, 2), random.randrange(-1, 5))
+        for index in range(CALLS)
     ]
-    now, began = 0, time.perf_counter()
-    for call, kind, tenant, choice in drawn:
-        now += 5_000
-        route = table.route(kind, tenant, choice) if table is not None else None
-        arrived = api.CallArrived(call, kind, tenant, 3_000_000, choice, route=route)
-        for action in controller.handle(now, arrived):
+    now_us, started_s = 0, time.perf_counter()
+    for call, class_index, tenant, choice in arrivals:
+        now_us += 5_000
+        route = table.route(class_index, tenant, choice) if table is not None else None
+        arrived = api.CallArrived(call, class_index, tenant, 3_000_000, choice, route=route)
+        for action in controller.handle(now_us, arrived):
             if isinstance(action, api.SendSetUp):
-                controller.handle(now + 3_000, api.CallStands(call, 0, action.server, 3_000))
-    return (time.perf_counter() - began) / CALLS * 1e6
+                controller.handle(now_us + 3_000, api.CallStands(call, 0, action.server, 3_000))
+    return (time.perf_counter() - started_s) / CALLS * 1e6
 
 
 def main() -> None:
-    """Print the median of the turns, one after the other so that a busy machine hits all alike."""
-    cases = {"no host": None, "no rules": RuleSet(), f"{MAX_RULES} rules": hundred()}
+    """Print the median of the rounds; each round runs all cases, so that a busy machine slows all alike."""
+    cases = {"no table": None, "no rules": RuleSet(), f"{MAX_RULES} rules": maximum_rules()}
     took: dict[str, list[float]] = {name: [] for name in cases}
-    for _ in range(TURNS):
+    for _ in range(ROUNDS):
         for name, rules in cases.items():
-            took[name].append(turn(None if rules is None else RoutingTable("v", rules, PLACE)))
-    shown = Shown("rules", "us a call, median", "least", "more than without")
-    base = statistics.median(took["no host"])
+            took[name].append(measure(None if rules is None else RoutingTable("v", rules, CONTEXT)))
+    results = ResultTable("rules", "us per call, median", "least", "added by the table")
+    base = statistics.median(took["no table"])
     for name, times in took.items():
-        middle = statistics.median(times)
-        shown.add_row(name, f"{middle:.1f}", f"{min(times):.1f}", f"{middle - base:+.2f}")
-    Console().print(shown)
+        median_us = statistics.median(times)
+        results.add_row(name, f"{median_us:.1f}", f"{min(times):.1f}", f"{median_us - base:+.2f}")
+    Console().print(results)
 
 
 if __name__ == "__main__":
--- a/benchmarks/store_load.py
+++ b/benchmarks/store_load.py
@@ -1,9 +1,9 @@
-"""What the store bears: operations a second at several sizes of a fleet, by the real decisions of when.
+"""Load on the store: operations per second at several fleet sizes, by the real timing functions.
 
 python -m benchmarks.store_load
 
-Every member's beats, renewals and told counts are played out for a minute of simulated time; with 16 real
-processes beside it, counted at the stand-in store, as a check of the simulation.
+Simulates every member's heartbeats, lease renewals and published counts for one minute. As a check of the
+simulation, 16 real processes run as well, with their writes counted at the fake store.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from pearloom.membership.view import heartbeat_interval_ms
 from pearloom.rollout.stages import publish_interval_ms
 
-SECONDS, BEAT_MS, TELL_MS, LEASE_MS = 60, 2_000.0, 1_000.0, 5_000.0
+SECONDS, HEARTBEAT_MS, PUBLISH_MS, LEASE_MS = 60, 2_000.0, 1_000.0, 5_000.0
 
 
-def simulated(members: int, rollout: bool, beat_ms: float, lease_ms: float) -> tuple[float, float]:
-    """Writes and renewals a second."""
+def simulated(members: int, rollout: bool, heartbeat_ms: float, lease_ms: float) -> tuple[float, float]:
+    """Return simulated writes and lease renewals per second."""
     random, writes, renewals = Random(members), 0, 0
-    periods = [heartbeat_interval_ms(beat_ms, members)] + (
-        [publish_interval_ms(TELL_MS, members)] if rollout else []
+    periods = [heartbeat_interval_ms(heartbeat_ms, members)] + (
+        [publish_interval_ms(PUBLISH_MS, members)] if rollout else []
     )
     for _ in range(members):
         for period in periods:
@@ -42,7 +42,7 @@
 
 
 def measured(members: int, for_s: float = 10.0) -> float:
-    """Writes a second of real processes that only beat."""
+    """Return writes per second of real processes that only send heartbeats."""
     rig = Rig(71, members)
     try:
         rig.start()
@@ -56,22 +56,22 @@
 
 
 def main() -> None:
-    """Print one line a size; each write is told to every member's watch."""
+    """Print one line for each size; each write is an event at every member's watch."""
     table = Table(
-        "softswitches", "rollout", "writes/s", "renewals/s", "told to one member/s", "told in all/s"
+        "softswitches", "rollout", "writes/s", "renewals/s", "events to one member/s", "events in all/s"
     )
     for members in (16, 200, 1_000):
         for rollout in (False, True):
-            writes, renewals = simulated(members, rollout, BEAT_MS, LEASE_MS)
+            writes, renewals = simulated(members, rollout, HEARTBEAT_MS, LEASE_MS)
             table.add_row(
                 str(members), "under way" if rollout else "none", f"{writes:.1f}", f"{renewals:.1f}",
                 f"{writes:.0f}", f"{writes * members:.0f}",
             )  # fmt: skip
     console = Console()
     console.print(table)
-    wanted, _ = simulated(16, False, 400.0, 2_000.0)
+    expected, _ = simulated(16, False, 400.0, 2_000.0)
     console.print(
-        f"16 real processes that beat every 400 ms: {measured(16):.1f} writes/s, simulated {wanted:.1f}"
+        f"16 real processes, heartbeat 400 ms: {measured(16):.1f} writes/s, simulated {expected:.1f}"
     )
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,6 +1,6 @@
-"""The list of guards against the tree: each stands once where the list says, and its tests are there.
+"""Checks the list of guards against the tree: each guard's code occurs once in its file, its tests exist.
 
-Guards against a list that a rename leaves behind. `python -m benchmarks.guards` tells if each is noticed.
+Guards against a rename that misses the list. `python -m benchmarks.guards` shows that a test needs each one.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("guard", (*CALLS, *FLEET_GUARDS, *IAX2), ids=lambda guard: guard.name)
-def test_a_guard_stands_once_and_has_its_tests(guard: Guard) -> None:
+def test_a_guard_occurs_once_and_its_tests_exist(guard: Guard) -> None:
     assert (ROOT / "pearloom" / guard.file).read_text().count(guard.code) == 1
     assert guard.tests
     for test in guard.tests:
