--- a/tests/player.py
+++ b/tests/player.py
@@ -236,7 +236,7 @@
     def upgrade(self) -> None:
         """Let a second softswitch take over from the first; both run in this process."""
         inherited = ask(self.handover_path)
-        assert inherited is not None, "the handover was refused"
+        assert inherited is not None, "no handover took place"
         config = inherited.renew(self.config(self.folder, self.known_servers))
         self.previous_softswitches.append(self.softswitch)
         self.softswitch = Softswitch(config, self.clock)
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker finds each broken rule, so that a run without any says something."""
+"""The rule checker finds a violation of each rule, so that a run without violations is meaningful."""
 
 from __future__ import annotations
 
@@ -11,62 +11,62 @@
 FIELDS = {"kind": "open-form", "protocol": "iax2", "description": b"sdp", "number": "1"}
 
 
-def entry(at_ms: float, what: What, who: str = "a", **more: object) -> Entry:
+def entry(at_ms: float, what: What, party: str = "a", **more: object) -> Entry:
     fields: dict[str, object] = dict(FIELDS) if what in (What.OFFERED, What.SET_UP) else {}
     if what is What.OFFERED:
         fields["patience_ms"] = 3000.0
     if what in (What.ANSWERED, What.STANDS):
         fields["description"] = b"made"
     call = "" if what in (What.TOLD, What.DIED) else "1"
-    return Entry(at_ms, what, who, call, **(fields | more))  # type: ignore[arg-type]
+    return Entry(at_ms, what, party, call, **(fields | more))  # type: ignore[arg-type]
 
 
-GOOD = [
+VALID = [
     entry(0, What.OFFERED, "caller"), entry(10, What.SET_UP), entry(20, What.ANSWERED),
     entry(30, What.STANDS, "caller"), entry(900, What.ENDED), entry(1000, What.RELEASED, "caller"),
 ]  # fmt: skip
 
 
-def broken(story: list[Entry], ended_ms: float = 60_000.0) -> set[str]:
-    return {one.rule for one in check(story, ALLOWED, ended_ms).broken}
+def broken_rules(entries: list[Entry], ended_ms: float = 60_000.0) -> set[str]:
+    return {violation.rule for violation in check(entries, ALLOWED, ended_ms).broken}
 
 
-def test_a_good_story_breaks_no_rule() -> None:
-    assert broken(GOOD) == set()
+def test_a_valid_journal_breaks_no_rule() -> None:
+    assert broken_rules(VALID) == set()
 
 
 @pytest.mark.parametrize(
-    ("rule", "story"),
+    ("rule", "entries"),
     [
-        ("one final answer", GOOD[:1]),
-        ("one final answer", [*GOOD, entry(1100, What.FAILED, "caller")]),
-        ("no answer after a give-up", [GOOD[0], entry(5, What.GAVE_UP, "caller"), *GOOD[1:]]),
-        ("answered in time", [GOOD[0], entry(3100, What.FAILED, "caller")]),
-        ("served only with what a server made", [*GOOD[:3], entry(30, What.STANDS, "x", description=b"x")]),
-        ("one attempt out", [*GOOD[:2], entry(15, What.SET_UP, "b"), *GOOD[2:]]),
-        ("300 ms after doubt", [*GOOD[:2], entry(500, What.WITHDRAWN), entry(700, What.SET_UP, "b")]),
-        ("300 ms after doubt", [*GOOD[:2], entry(500, What.DROPPED), entry(700, What.SET_UP, "b")]),
-        ("four attempts at most", [GOOD[0], *[one for n, who in enumerate("abcde") for one in
-                                   (entry(n * 9, What.SET_UP, who), entry(n * 9 + 1, What.TURNED, who))]]),
-        ("only pools of its class", [GOOD[0], entry(5, What.SET_UP, "z")]),
-        ("no changed description", [GOOD[0], entry(5, What.SET_UP, description=b"sdq")]),
-        ("drains honoured within 250 ms", [entry(-400, What.TOLD, kind="draining"), *GOOD]),
-        ("nothing sent for a call that is over", [GOOD[0], entry(5, What.GAVE_UP, "caller"),
+        ("one final answer", VALID[:1]),
+        ("one final answer", [*VALID, entry(1100, What.FAILED, "caller")]),
+        ("no answer after a give-up", [VALID[0], entry(5, What.GAVE_UP, "caller"), *VALID[1:]]),
+        ("answered in time", [VALID[0], entry(3100, What.FAILED, "caller")]),
+        ("served only with what a server made", [*VALID[:3], entry(30, What.STANDS, "x", description=b"x")]),
+        ("one attempt out", [*VALID[:2], entry(15, What.SET_UP, "b"), *VALID[2:]]),
+        ("300 ms after doubt", [*VALID[:2], entry(500, What.WITHDRAWN), entry(700, What.SET_UP, "b")]),
+        ("300 ms after doubt", [*VALID[:2], entry(500, What.DROPPED), entry(700, What.SET_UP, "b")]),
+        ("four attempts at most", [VALID[0], *[item for n, name in enumerate("abcde") for item in
+                                   (entry(n * 9, What.SET_UP, name), entry(n * 9 + 1, What.TURNED, name))]]),
+        ("only pools of its class", [VALID[0], entry(5, What.SET_UP, "z")]),
+        ("no changed description", [VALID[0], entry(5, What.SET_UP, description=b"sdq")]),
+        ("drains honoured within 250 ms", [entry(-400, What.TOLD, kind="draining"), *VALID]),
+        ("nothing sent for a call that is over", [VALID[0], entry(5, What.GAVE_UP, "caller"),
                                                   entry(300, What.SET_UP)]),
-        ("releases passed on", [*GOOD[:5], entry(2000, What.RELEASED, "caller")]),
-        ("releases passed on", [*GOOD[:4], entry(900, What.DIED), entry(9200, What.RELEASED, "caller")]),
-        ("nothing left standing at a caller", GOOD[:4]),
-        ("nothing left standing at a server", GOOD[:3]),
+        ("releases passed on", [*VALID[:5], entry(2000, What.RELEASED, "caller")]),
+        ("releases passed on", [*VALID[:4], entry(900, What.DIED), entry(9200, What.RELEASED, "caller")]),
+        ("nothing left standing at a caller", VALID[:4]),
+        ("nothing left standing at a server", VALID[:3]),
         ("no set-up that no caller sent", [entry(10, What.SET_UP)]),
     ],
 )  # fmt: skip
-def test_each_broken_rule_is_found(rule: str, story: list[Entry]) -> None:
-    assert rule in broken(story)
+def test_a_violation_of_each_rule_is_found(rule: str, entries: list[Entry]) -> None:
+    assert rule in broken_rules(entries)
 
 
 def test_a_dead_server_ends_its_attempts_and_calls() -> None:
-    story = [*GOOD[:2], entry(100, What.DIED), entry(450, What.SET_UP, "b"), entry(460, What.TURNED, "b"),
+    entries = [*VALID[:2], entry(100, What.DIED), entry(450, What.SET_UP, "b"), entry(460, What.TURNED, "b"),
              entry(470, What.REFUSED, "caller")]  # fmt: skip
-    assert broken(story) == set()
-    story = [*GOOD[:4], entry(900, What.DIED), entry(8000, What.RELEASED, "caller")]
-    assert broken(story) == set()
+    assert broken_rules(entries) == set()
+    entries = [*VALID[:4], entry(900, What.DIED), entry(8000, What.RELEASED, "caller")]
+    assert broken_rules(entries) == set()
