--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Hand-written events for tests of the decision module; no model of servers."""
+"""Hand-written events for tests of the decision module, without any simulated server."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    told: dict[str, object] = {
+    fields: dict[str, object] = {
         "classes": (
             api.CallClass(aim_us=AIM, deadline_us=6_000_000, worth=1, late_worth=0.2),
             api.CallClass(aim_us=AIM, deadline_us=6_000_000, worth=8),
@@ -28,7 +28,7 @@
         "max_attempts": 5,
         "may_cancel": True,
     }
-    return api.Settings(**(told | changes))  # type: ignore[arg-type]
+    return api.Settings(**(fields | changes))  # type: ignore[arg-type]
 
 
 def entry(
@@ -37,16 +37,16 @@
     return api.PoolEntry(server, cell, state, started)
 
 
-class Proxy:
-    """A controller with the bookkeeping that tests need."""
+class ControllerHost:
+    """Hosts a controller in a test: keeps its time in microseconds and numbers the calls."""
 
     def __init__(self, *entries: api.PoolEntry, now: int = 100_000_000, **changes: object) -> None:
         self.controller = Controller(settings(**changes), 7)
         self.now = now
         self.count = 0
-        self.tell(api.PoolList(api.ListKind.CACHED, entries or (entry(A, 0), entry(B, 1))))
+        self.handle_event(api.PoolList(api.ListKind.CACHED, entries or (entry(A, 0), entry(B, 1))))
 
-    def tell(self, event: api.Event, after: int = 0) -> list[api.Action]:
+    def handle_event(self, event: api.Event, after: int = 0) -> list[api.Action]:
         self.now += after
         return self.controller.handle(self.now, event)
 
@@ -54,36 +54,40 @@
         self, first: int = 0, kind: int = 0, patience: int = 3_000_000, tenant: int = 0
     ) -> list[api.Action]:
         self.count += 1
-        return self.tell(api.CallArrived(f"c{self.count}", kind, tenant, patience, first))
+        return self.handle_event(api.CallArrived(f"c{self.count}", kind, tenant, patience, first))
 
-    def stands(self, number: int, server: str, delay: int = 50_000, attempt: int = 0) -> list[api.Action]:
-        return self.tell(api.CallStands(f"c{number}", attempt, server, delay))
+    def report_answer(
+        self, number: int, server: str, delay: int = 50_000, attempt: int = 0
+    ) -> list[api.Action]:
+        return self.handle_event(api.CallStands(f"c{number}", attempt, server, delay))
 
-    def ended(
+    def report_end(
         self, number: int, server: str, ending: api.Ending, attempt: int = 0, after: int = 0, **more: object
     ) -> list[api.Action]:
-        told: dict[str, Any] = more
-        return self.tell(api.AttemptEnded(f"c{number}", attempt, server, ending, **told), after)
+        fields: dict[str, Any] = more
+        return self.handle_event(api.AttemptEnded(f"c{number}", attempt, server, ending, **fields), after)
 
-    def serve_out(self) -> None:
-        """Let all set-ups that are out stand and end at once."""
+    def complete_open_calls(self) -> None:
+        """Answer and end the calls with an attempt out; the callers of all others give up."""
         for name, call in list(self.controller._calls._calls.items()):
             if call.current_attempt >= 0:
-                self.tell(api.CallStands(name, call.current_attempt, call.server, 50_000))
-                self.tell(
+                self.handle_event(api.CallStands(name, call.current_attempt, call.server, 50_000))
+                self.handle_event(
                     api.AttemptEnded(name, call.attempts - 1, call.server, api.Ending.ENDED, call_over=True)
                 )
             else:
-                self.tell(api.CallGone(name))
+                self.handle_event(api.CallGone(name))
 
-    def serve(self, count: int, server: str, first: int, gap: int = 200_000, delay: int = 50_000) -> None:
-        """Let calls arrive, stand and end, so that the pool's usual delay and rate are known."""
+    def complete_calls(
+        self, count: int, server: str, first: int, gap: int = 200_000, delay: int = 50_000
+    ) -> None:
+        """Let calls arrive, be answered and end, so that the pool's usual delay and rate are known."""
         for _ in range(count):
             sent = self.call(first)
             assert sends(sent) == [server]
             self.now += delay
-            self.stands(self.count, server, delay)
-            self.ended(self.count, server, api.Ending.ENDED, call_over=True)
+            self.report_answer(self.count, server, delay)
+            self.report_end(self.count, server, api.Ending.ENDED, call_over=True)
             self.now += gap - delay
 
 
@@ -103,6 +107,6 @@
     return [action for action in actions if isinstance(action, api.SetTimer)]
 
 
-def own_timer(actions: list[api.Action]) -> api.SetTimer:
-    """The timer of a call, not the shared pulse of held calls."""
+def call_timer(actions: list[api.Action]) -> api.SetTimer:
+    """Return the timer of one call, not the timer that all held calls share."""
     return next(timer for timer in timers(actions) if timer.token > 1)
