--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -33,7 +33,7 @@
         return _RECORD.pack(*known, STATES.index(self.state), 0, 0, self.cell, 1000, self.started_ms)
 
 
-class StandInCoordinator:
+class FakeCoordinator:
     """Tells every softswitch that connects of each change since the one it names."""
 
     def __init__(self, journal: Journal, servers: list[Listed]) -> None:
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -26,7 +26,7 @@
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Address
 from pearloom.fakes.callers import BinaryCaller
-from pearloom.fakes.coordinator import Listed, StandInCoordinator
+from pearloom.fakes.coordinator import FakeCoordinator, Listed
 from pearloom.fakes.etcd import Gateway
 from pearloom.fakes.fleet.datagrams import Datagrams
 from pearloom.fakes.fleet.proxy import Proxy
@@ -94,7 +94,7 @@
 
     random: Random = field(init=False)
     gateway: Gateway = field(init=False)
-    coordinator: StandInCoordinator = field(init=False)
+    coordinator: FakeCoordinator = field(init=False)
     session_servers: list[SipServer] = field(init=False)
     iax2: list[Iax2Server] = field(init=False)
     ways: list[Datagrams] = field(init=False)
@@ -123,7 +123,7 @@
         places = [(one.server, one.address) for one in self.session_servers]
         places += [(one.server, way.address) for one, way in zip(self.iax2, self.ways, strict=True)]
         listed = [Listed(server, address, cell) for cell, (server, address) in enumerate(places)]
-        self.coordinator = StandInCoordinator(self.journal, listed)
+        self.coordinator = FakeCoordinator(self.journal, listed)
         self.nodes = {}
         for at in range(self.softswitches):
             name = f"n{1 + at}"
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -20,7 +20,7 @@
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Address
 from pearloom.fakes.callers import BinaryCaller, Iax2Caller
-from pearloom.fakes.coordinator import Listed, StandInCoordinator
+from pearloom.fakes.coordinator import FakeCoordinator, Listed
 from pearloom.fakes.iax2_server import Iax2Server
 from pearloom.fakes.journal import Journal
 from pearloom.fakes.rules import Report, check
@@ -97,7 +97,7 @@
         ]
         self.servers: list[SipServer | Iax2Server] = [*self.sip, *self.iax2]
         listed = [Listed(one.server, one.address, cell) for cell, one in enumerate(self.servers)]
-        self.coordinator = StandInCoordinator(self.journal, listed)
+        self.coordinator = FakeCoordinator(self.journal, listed)
         self.allowed = {name: [one.server for one in self.servers] for name in CLASSES}
         self.binary_at: Address = ("127.0.0.1", free_port())
         self.iax2_at: Address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
