--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -36,7 +36,7 @@
     what: What
     who: str  # the server's id, or the caller's name
     call: str = ""
-    kind: str = ""  # the call's class; for TOLD the state
+    label: str = ""  # the call's class; for TOLD the state
     protocol: str = ""
     description: bytes = b""
     number: str = ""
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -51,7 +51,7 @@
     told: dict[str, float] = {}
     died: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
-        if entry.what is What.TOLD and entry.kind != "ready":
+        if entry.what is What.TOLD and entry.label != "ready":
             told.setdefault(entry.who, entry.at_ms)
         elif entry.what is What.DIED:
             died[entry.who].append(entry.at_ms)
@@ -111,7 +111,7 @@
         servers = [one for one in self.story if one.what is What.SET_UP]
         end = finals[0].what.name if finals else "GAVE_UP" if left is not None else "NONE"
         last = servers[-1].protocol if servers else "-"
-        self.report.ends[offered.kind, offered.protocol, last, end] += 1
+        self.report.ends[offered.label, offered.protocol, last, end] += 1
         if len({one.protocol for one in servers}) > 1:
             self.report.crossed += 1
 
@@ -141,10 +141,10 @@
             self.bad("four attempts at most", str(attempts))
 
     def _attempt(self, offered: Entry, one: Entry) -> None:
-        if one.who not in self.allowed.get(offered.kind, ()):
+        if one.who not in self.allowed.get(offered.label, ()):
             self.bad("only pools of its class", one.who)
-        if (one.kind, one.number, one.description) != (offered.kind, offered.number, offered.description):
-            self.bad("no changed description", f"{one.kind} {one.number} {len(one.description)} bytes")
+        if (one.label, one.number, one.description) != (offered.label, offered.number, offered.description):
+            self.bad("no changed description", f"{one.label} {one.number} {len(one.description)} bytes")
         told = self.told.get(one.who)
         if told is not None and one.at_ms > told + DRAIN_MS + SLACK_MS:
             self.bad("drains honoured within 250 ms", f"{one.at_ms - told:.0f} ms at {one.who}")
