--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -55,7 +55,7 @@
         what: What,
         who: str,
         call: str = "",
-        kind: str = "",
+        label: str = "",
         protocol: str = "",
         description: bytes = b"",
         number: str = "",
@@ -63,7 +63,7 @@
     ) -> None:
         """Note what happened just now."""
         at = time.time() * 1000.0
-        self.entries.append(Entry(at, what, who, call, kind, protocol, description, number, patience_ms))
+        self.entries.append(Entry(at, what, who, call, label, protocol, description, number, patience_ms))
 
     @property
     def quiet(self) -> bool:
