--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -189,7 +189,7 @@
 
     def excuse(self, name: str) -> None:
         """Its process ends or stops this moment: no rule holds for the calls that it has now."""
-        offered = (one for one in self.journal.entries if one.what is What.OFFERED)
+        offered = (one for one in self.journal.entries if one.kind is What.OFFERED)
         self._excused |= {one.call for one in offered if one.who == f"caller-{name}"}
 
     def _history(self) -> Journal:
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -33,7 +33,7 @@
     """One thing that happened, at Unix ms."""
 
     at_ms: float
-    what: What
+    kind: What
     who: str  # the server's id, or the caller's name
     call: str = ""
     label: str = ""  # the call's class; for TOLD the state
@@ -70,6 +70,6 @@
         """Is every call over, and every answer that is owed given, as the callers were told?"""
         over = {What.STANDS: 1, What.RELEASED: -1, What.LEFT: -1}
         final = (What.STANDS, What.REFUSED, What.FAILED, What.GAVE_UP)
-        held = sum(over.get(one.what, 0) for one in self.entries)
-        owed = sum((one.what is What.OFFERED) - (one.what in final) for one in self.entries)
+        held = sum(over.get(one.kind, 0) for one in self.entries)
+        owed = sum((one.kind is What.OFFERED) - (one.kind in final) for one in self.entries)
         return held <= 0 and owed <= 0
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -51,9 +51,9 @@
     told: dict[str, float] = {}
     died: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
-        if entry.what is What.TOLD and entry.label != "ready":
+        if entry.kind is What.TOLD and entry.label != "ready":
             told.setdefault(entry.who, entry.at_ms)
-        elif entry.what is What.DIED:
+        elif entry.kind is What.DIED:
             died[entry.who].append(entry.at_ms)
         elif entry.call:
             by_call[entry.call].append(entry)
@@ -84,32 +84,32 @@
         self.report.add(rule, self.call, detail)
 
     def check(self) -> None:
-        offered = next((one for one in self.story if one.what is What.OFFERED), None)
+        offered = next((one for one in self.story if one.kind is What.OFFERED), None)
         if offered is None:
-            self.bad("no set-up that no caller sent", f"{self.story[0].what.name} at {self.story[0].who}")
+            self.bad("no set-up that no caller sent", f"{self.story[0].kind.name} at {self.story[0].who}")
             return
         self._answers(offered)
         self._attempts(offered)
         self._ends(offered)
 
     def _answers(self, offered: Entry) -> None:
-        finals = [one for one in self.story if one.what in _FINAL]
-        left = next((one.at_ms for one in self.story if one.what is What.GAVE_UP), None)
+        finals = [one for one in self.story if one.kind in _FINAL]
+        left = next((one.at_ms for one in self.story if one.kind is What.GAVE_UP), None)
         if len(finals) > 1:
-            self.bad("one final answer", " and ".join(one.what.name for one in finals))
+            self.bad("one final answer", " and ".join(one.kind.name for one in finals))
         if left is not None and any(one.at_ms > left for one in finals):
-            self.bad("no answer after a give-up", finals[-1].what.name)
+            self.bad("no answer after a give-up", finals[-1].kind.name)
         due = offered.at_ms + offered.patience_ms + SLACK_MS
         if not finals and left is None and self.done:
             self.bad("one final answer", "none")
         for final in finals:
             if final.at_ms > due:
                 self.bad("answered in time", f"{final.at_ms - due:.0f} ms late")
-            made = [one.description for one in self.story if one.what is What.ANSWERED]
-            if final.what is What.STANDS and final.description not in made:
+            made = [one.description for one in self.story if one.kind is What.ANSWERED]
+            if final.kind is What.STANDS and final.description not in made:
                 self.bad("served only with what a server made", f"{final.description[:40]!r}")
-        servers = [one for one in self.story if one.what is What.SET_UP]
-        end = finals[0].what.name if finals else "GAVE_UP" if left is not None else "NONE"
+        servers = [one for one in self.story if one.kind is What.SET_UP]
+        end = finals[0].kind.name if finals else "GAVE_UP" if left is not None else "NONE"
         last = servers[-1].protocol if servers else "-"
         self.report.ends[offered.label, offered.protocol, last, end] += 1
         if len({one.protocol for one in servers}) > 1:
@@ -123,7 +123,7 @@
             deaths = [] if out is None else [at for at in self.died[out.who] if out.at_ms <= at <= one.at_ms]
             if deaths:
                 out, free_ms = None, deaths[0]
-            if one.what is What.SET_UP:
+            if one.kind is What.SET_UP:
                 attempts += 1
                 self.report.attempts[one.who] += 1
                 self._attempt(offered, one)
@@ -133,9 +133,9 @@
                     self.bad("300 ms after doubt", f"{one.at_ms - free_ms:.0f} ms at {one.who}")
                 out = one
             elif out is not None and one.who == out.who:
-                if one.what in (What.WITHDRAWN, What.DROPPED):
+                if one.kind in (What.WITHDRAWN, What.DROPPED):
                     out, free_ms = None, one.at_ms
-                elif one.what in (What.ANSWERED, What.TURNED):
+                elif one.kind in (What.ANSWERED, What.TURNED):
                     out = None
         if attempts > MOST_ATTEMPTS:
             self.bad("four attempts at most", str(attempts))
@@ -148,25 +148,25 @@
         told = self.told.get(one.who)
         if told is not None and one.at_ms > told + DRAIN_MS + SLACK_MS:
             self.bad("drains honoured within 250 ms", f"{one.at_ms - told:.0f} ms at {one.who}")
-        left = next((end.at_ms for end in self.story if end.what is What.GAVE_UP), None)
+        left = next((end.at_ms for end in self.story if end.kind is What.GAVE_UP), None)
         if left is not None and one.at_ms > left + DRAIN_MS:
             self.bad("nothing sent for a call that is over", f"{one.at_ms - left:.0f} ms at {one.who}")
 
     def _ends(self, offered: Entry) -> None:
         """What stood at a caller is released to it, and what stood at a server is released there."""
-        stands = next((one for one in self.story if one.what is What.STANDS), None)
+        stands = next((one for one in self.story if one.kind is What.STANDS), None)
         if stands is not None:
-            over = next((one for one in self.story if one.what in (What.RELEASED, What.LEFT)), None)
+            over = next((one for one in self.story if one.kind in (What.RELEASED, What.LEFT)), None)
             due = self._due(stands)
             if due is not None and (over is None or over.at_ms > due) and due < self.ended_ms:
                 late = "never" if over is None else f"{over.at_ms - due:.0f} ms late"
                 self.bad("releases passed on", f"{late} of {stands.description[:20]!r}")
             if over is None and self.done:
                 self.bad("nothing left standing at a caller", offered.protocol)
-        for answer in [one for one in self.story if one.what is What.ANSWERED]:
+        for answer in [one for one in self.story if one.kind is What.ANSWERED]:
             ended = any(
                 one.who == answer.who and one.at_ms >= answer.at_ms
-                and one.what in (What.OVER, What.ENDED, What.WITHDRAWN)
+                and one.kind in (What.OVER, What.ENDED, What.WITHDRAWN)
                 for one in self.story
             ) or any(at >= answer.at_ms for at in self.died[answer.who])  # fmt: skip
             if not ended and self.done:
@@ -178,14 +178,14 @@
             (
                 one
                 for one in self.story
-                if one.what is What.ANSWERED and one.description == stands.description
+                if one.kind is What.ANSWERED and one.description == stands.description
             ),
             None,
         )
         if answer is None:
             return None
         for one in self.story:
-            if one.what is What.ENDED and one.who == answer.who and one.at_ms >= answer.at_ms:
+            if one.kind is What.ENDED and one.who == answer.who and one.at_ms >= answer.at_ms:
                 return one.at_ms + RELEASE_MS + SLACK_MS
         deaths = [at for at in self.died[answer.who] if at >= answer.at_ms]
         return deaths[0] + DEAD_MS + SLACK_MS if deaths else None
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -129,7 +129,7 @@
     assert rig.head()["version"] == version
     calling.join()
     counted = sum(_calls(value) for value in _last_told(rig).values())
-    answered = sum(one.what.name in ("STANDS", "REFUSED", "FAILED") for one in rig.journal.entries)
+    answered = sum(one.kind.name in ("STANDS", "REFUSED", "FAILED") for one in rig.journal.entries)
     assert 0 < counted <= answered, "no call is counted twice"
     judged(rig)
 
@@ -246,14 +246,14 @@
     rig.until(lambda: done(rig, "n1", 2), 3.0)
     calling.join()
     way.heal()
-    standing = [one for one in rig.journal.entries if one.what is What.STANDS]
+    standing = [one for one in rig.journal.entries if one.kind is What.STANDS]
     assert standing[-1].at_ms > standing[0].at_ms + 5_000, "the other servers take the calls again"
     rig.settle(25.0)
     assert broken_rules(rig.gateway.store) == []
 
 
 def _set_ups(rig: Rig, server: str) -> int:
-    return sum(one.what is What.SET_UP and one.who == server for one in rig.journal.entries)
+    return sum(one.kind is What.SET_UP and one.who == server for one in rig.journal.entries)
 
 
 def test_a_wall_clock_an_hour_off_changes_nothing(started: Starter) -> None:
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -274,5 +274,5 @@
         stage.iax2[0].nameless = True
         first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
-        stood = [one for one in stage.journal.entries if one.what is What.STANDS]
+        stood = [one for one in stage.journal.entries if one.kind is What.STANDS]
         assert [one.description[:10] for one in stood] == [b"s-00000001"]
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -51,6 +51,6 @@
         assert stood == {(one, other) for one in ("binary", "iax2") for other in ("sip", "iax2")}
         # Some second attempts cross; how many rests on timing on real sockets (5 in one CI run).
         assert report.crossed > 0, "no second attempt went over the other protocol"
-        late = [one for one in stage.journal.entries if one.what is What.SET_UP and one.who == "s-00000012"]
-        told = next(one.at_ms for one in stage.journal.entries if one.what is What.TOLD)
+        late = [one for one in stage.journal.entries if one.kind is What.SET_UP and one.who == "s-00000012"]
+        told = next(one.at_ms for one in stage.journal.entries if one.kind is What.TOLD)
         assert late[0].at_ms < told and late[-1].at_ms < told + 300
