--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -15,7 +15,7 @@
 from pearloom.core.calls import Media, MediaKind, SetUpRequest
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
-from pearloom.fakes.journal import Journal, What
+from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.reading import messages
 from pearloom.fakes.rules import SLACK_MS
 from pearloom.fakes.script import Faults, Path
@@ -44,7 +44,7 @@
 
 def _offered(journal: Journal, who: str, protocol: str, offer: SetUpRequest) -> None:
     journal.add(
-        What.OFFERED, who, offer.call, offer.class_name, protocol, offer.description, offer.number,
+        EntryKind.OFFERED, who, offer.call, offer.class_name, protocol, offer.description, offer.number,
         offer.patience_ms,
     )  # fmt: skip
 
@@ -93,14 +93,14 @@
     def _give_up(self, call: str) -> None:
         held = self._calls.get(call)
         if held is not None and not held.told:
-            self._journal.add(What.GAVE_UP, self.name, call)
+            self._journal.add(EntryKind.GAVE_UP, self.name, call)
             del self._calls[call]
             self._release(call, 16)
 
     def _leave(self, call: str) -> None:
         held = self._calls.get(call)
         if held is not None and held.stands:
-            self._journal.add(What.LEFT, self.name, call)
+            self._journal.add(EntryKind.LEFT, self.name, call)
             del self._calls[call]
             self._release(call, 16)
 
@@ -124,13 +124,13 @@
         if message.type == Type.ANSWER and held is not None:
             held.stands = held.told = True
             made = message.parameters.get(Code.DESCRIPTION, b"")
-            self._journal.add(What.STANDS, self.name, message.call, description=made)
+            self._journal.add(EntryKind.STANDS, self.name, message.call, description=made)
         elif message.type == Type.RELEASE:
             sock.sendall(isup.encode(Message(Type.RELEASE_COMPLETE, message.call)))
             if held is not None:
                 del self._calls[message.call]
                 refused = message.cause in REFUSED
-                what = What.RELEASED if held.told else What.REFUSED if refused else What.FAILED
+                what = EntryKind.RELEASED if held.told else EntryKind.REFUSED if refused else EntryKind.FAILED
                 self._journal.add(what, self.name, message.call)
 
     def close(self) -> None:
@@ -199,13 +199,13 @@
 
     def _give_up(self, leg: _CallerLeg) -> None:
         if not leg.stands and not leg.over and not leg.closing:
-            self._journal.add(What.GAVE_UP, self.name, leg.call)
+            self._journal.add(EntryKind.GAVE_UP, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
     def _leave(self, leg: _CallerLeg) -> None:
         if leg.stands and not leg.closing and not leg.over:
-            self._journal.add(What.LEFT, self.name, leg.call)
+            self._journal.add(EntryKind.LEFT, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
@@ -223,14 +223,14 @@
         match event:
             case Answered(description, _):
                 leg.stands = True
-                self._journal.add(What.STANDS, self.name, leg.call, description=description or b"")
+                self._journal.add(EntryKind.STANDS, self.name, leg.call, description=description or b"")
             case Rejected(_, cause, _, _):
-                what = What.REFUSED if cause in REFUSED else What.FAILED
+                what = EntryKind.REFUSED if cause in REFUSED else EntryKind.FAILED
                 self._journal.add(what, self.name, leg.call)
             case Failed():
-                self._journal.add(What.GAVE_UP, self.name, leg.call)
+                self._journal.add(EntryKind.GAVE_UP, self.name, leg.call)
             case HungUp() | Gone():
-                self._journal.add(What.RELEASED, self.name, leg.call)
+                self._journal.add(EntryKind.RELEASED, self.name, leg.call)
                 leg.stands = False
             case Heard():
                 self.spoken += 1
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -31,7 +31,7 @@
 from pearloom.fakes.fleet.datagrams import Datagrams
 from pearloom.fakes.fleet.proxy import Proxy
 from pearloom.fakes.iax2_server import Iax2Server
-from pearloom.fakes.journal import Journal, What
+from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.rules import Report, check
 from pearloom.fakes.script import Manner
 from pearloom.fakes.sip_server import SipServer
@@ -189,7 +189,7 @@
 
     def excuse(self, name: str) -> None:
         """Its process ends or stops this moment: no rule holds for the calls that it has now."""
-        offered = (one for one in self.journal.entries if one.kind is What.OFFERED)
+        offered = (one for one in self.journal.entries if one.kind is EntryKind.OFFERED)
         self._excused |= {one.call for one in offered if one.who == f"caller-{name}"}
 
     def _history(self) -> Journal:
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -13,7 +13,7 @@
 
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
-from pearloom.fakes.journal import Journal, What
+from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
 from pearloom.iax2 import tokens
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
@@ -164,10 +164,12 @@
             case Offered(elements):
                 self._offered(leg, elements)
             case HungUp(_) if leg.call:
-                self._journal.add(What.OVER if leg.stands else What.WITHDRAWN, self.server, leg.call)
+                self._journal.add(
+                    EntryKind.OVER if leg.stands else EntryKind.WITHDRAWN, self.server, leg.call
+                )
                 leg.stands = False
             case Gone(_) if leg.call:
-                self._journal.add(What.ENDED if leg.stands else What.DROPPED, self.server, leg.call)
+                self._journal.add(EntryKind.ENDED if leg.stands else EntryKind.DROPPED, self.server, leg.call)
                 leg.stands = False
             case Heard(media):
                 self.spoken += 1
@@ -181,7 +183,7 @@
         description = join_description(elements)
         leg.call = (elements.get(Element.CALL) or b"").hex()
         self._journal.add(
-            What.SET_UP,
+            EntryKind.SET_UP,
             self.server,
             leg.call,
             elements.text(Element.CALLED_CONTEXT) or "",
@@ -196,7 +198,7 @@
         if leg.over or leg.closing or self._legs.get(leg.peer) is not leg:
             return
         if leg.act.behaviour is Behaviour.TURN:
-            self._journal.add(What.TURNED, self.server, leg.call)
+            self._journal.add(EntryKind.TURNED, self.server, leg.call)
             leg.reject(leg.act.cause, "", 0.0, self._now())
         else:
             self._made += 1  # no two answers are alike, so that one can be told from the other
@@ -206,10 +208,10 @@
             elements = answer_elements(made)
             if leg.act.behaviour is Behaviour.SPOIL or self.nameless:
                 elements = [] if self.nameless else elements[1:] or [(Element.DESCRIPTION, b"\x07x")]
-                self._journal.add(What.TURNED, self.server, leg.call)
+                self._journal.add(EntryKind.TURNED, self.server, leg.call)
             else:
                 leg.stands = True
-                self._journal.add(What.ANSWERED, self.server, leg.call, description=made)
+                self._journal.add(EntryKind.ANSWERED, self.server, leg.call, description=made)
                 gevent.spawn_later(leg.act.holds_ms / 1000.0, self.end, leg)
             leg.answer(ULAW, elements, self._now())
         self._flush(leg, [])
@@ -218,7 +220,7 @@
         """Release a call that stands here."""
         if leg.stands and self._legs.get(leg.peer) is leg:
             leg.stands = False
-            self._journal.add(What.ENDED, self.server, leg.call)
+            self._journal.add(EntryKind.ENDED, self.server, leg.call)
             leg.hang_up(16, self._now())
             self._flush(leg, [])
 
@@ -233,7 +235,7 @@
     # --- failures -------------------------------------------------------------------------------------------
     def die(self) -> None:
         """The process ends, and with it all that stood here."""
-        self._journal.add(What.DIED, self.server)
+        self._journal.add(EntryKind.DIED, self.server)
         self._legs.clear()
         self._running[0].kill()  # first, or the closed socket keeps its address
         self._sock.close()
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 
-class What(Enum):
+class EntryKind(Enum):
     """What an entry tells."""
 
     OFFERED = "a caller sent a set-up"
@@ -33,7 +33,7 @@
     """One thing that happened, at Unix ms."""
 
     at_ms: float
-    kind: What
+    kind: EntryKind
     who: str  # the server's id, or the caller's name
     call: str = ""
     label: str = ""  # the call's class; for TOLD the state
@@ -52,7 +52,7 @@
 
     def add(
         self,
-        kind: What,
+        kind: EntryKind,
         who: str,
         call: str = "",
         label: str = "",
@@ -68,8 +68,8 @@
     @property
     def quiet(self) -> bool:
         """Is every call over, and every answer that is owed given, as the callers were told?"""
-        over = {What.STANDS: 1, What.RELEASED: -1, What.LEFT: -1}
-        final = (What.STANDS, What.REFUSED, What.FAILED, What.GAVE_UP)
+        over = {EntryKind.STANDS: 1, EntryKind.RELEASED: -1, EntryKind.LEFT: -1}
+        final = (EntryKind.STANDS, EntryKind.REFUSED, EntryKind.FAILED, EntryKind.GAVE_UP)
         held = sum(over.get(one.kind, 0) for one in self.entries)
-        owed = sum((one.kind is What.OFFERED) - (one.kind in final) for one in self.entries)
+        owed = sum((one.kind is EntryKind.OFFERED) - (one.kind in final) for one in self.entries)
         return held <= 0 and owed <= 0
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from pearloom.fakes.journal import Entry, What
+from pearloom.fakes.journal import Entry, EntryKind
 
 SLACK_MS = 50.0  # every limit on sockets is so much longer
 PAUSE_MS = 300.0  # after an attempt in doubt
@@ -15,7 +15,7 @@
 RELEASE_MS = 1_000.0  # from a server's release to its caller
 DEAD_MS = 8_000.0  # from a server's death to the callers of what stood there
 MOST_ATTEMPTS = 4
-_FINAL = (What.STANDS, What.REFUSED, What.FAILED)
+_FINAL = (EntryKind.STANDS, EntryKind.REFUSED, EntryKind.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,9 +51,9 @@
     told: dict[str, float] = {}
     died: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
-        if entry.kind is What.TOLD and entry.label != "ready":
+        if entry.kind is EntryKind.TOLD and entry.label != "ready":
             told.setdefault(entry.who, entry.at_ms)
-        elif entry.kind is What.DIED:
+        elif entry.kind is EntryKind.DIED:
             died[entry.who].append(entry.at_ms)
         elif entry.call:
             by_call[entry.call].append(entry)
@@ -84,7 +84,7 @@
         self.report.add(rule, self.call, detail)
 
     def check(self) -> None:
-        offered = next((one for one in self.story if one.kind is What.OFFERED), None)
+        offered = next((one for one in self.story if one.kind is EntryKind.OFFERED), None)
         if offered is None:
             self.bad("no set-up that no caller sent", f"{self.story[0].kind.name} at {self.story[0].who}")
             return
@@ -94,7 +94,7 @@
 
     def _answers(self, offered: Entry) -> None:
         finals = [one for one in self.story if one.kind in _FINAL]
-        left = next((one.at_ms for one in self.story if one.kind is What.GAVE_UP), None)
+        left = next((one.at_ms for one in self.story if one.kind is EntryKind.GAVE_UP), None)
         if len(finals) > 1:
             self.bad("one final answer", " and ".join(one.kind.name for one in finals))
         if left is not None and any(one.at_ms > left for one in finals):
@@ -105,10 +105,10 @@
         for final in finals:
             if final.at_ms > due:
                 self.bad("answered in time", f"{final.at_ms - due:.0f} ms late")
-            made = [one.description for one in self.story if one.kind is What.ANSWERED]
-            if final.kind is What.STANDS and final.description not in made:
+            made = [one.description for one in self.story if one.kind is EntryKind.ANSWERED]
+            if final.kind is EntryKind.STANDS and final.description not in made:
                 self.bad("served only with what a server made", f"{final.description[:40]!r}")
-        servers = [one for one in self.story if one.kind is What.SET_UP]
+        servers = [one for one in self.story if one.kind is EntryKind.SET_UP]
         end = finals[0].kind.name if finals else "GAVE_UP" if left is not None else "NONE"
         last = servers[-1].protocol if servers else "-"
         self.report.ends[offered.label, offered.protocol, last, end] += 1
@@ -123,7 +123,7 @@
             deaths = [] if out is None else [at for at in self.died[out.who] if out.at_ms <= at <= one.at_ms]
             if deaths:
                 out, free_ms = None, deaths[0]
-            if one.kind is What.SET_UP:
+            if one.kind is EntryKind.SET_UP:
                 attempts += 1
                 self.report.attempts[one.who] += 1
                 self._attempt(offered, one)
@@ -133,9 +133,9 @@
                     self.bad("300 ms after doubt", f"{one.at_ms - free_ms:.0f} ms at {one.who}")
                 out = one
             elif out is not None and one.who == out.who:
-                if one.kind in (What.WITHDRAWN, What.DROPPED):
+                if one.kind in (EntryKind.WITHDRAWN, EntryKind.DROPPED):
                     out, free_ms = None, one.at_ms
-                elif one.kind in (What.ANSWERED, What.TURNED):
+                elif one.kind in (EntryKind.ANSWERED, EntryKind.TURNED):
                     out = None
         if attempts > MOST_ATTEMPTS:
             self.bad("four attempts at most", str(attempts))
@@ -148,25 +148,25 @@
         told = self.told.get(one.who)
         if told is not None and one.at_ms > told + DRAIN_MS + SLACK_MS:
             self.bad("drains honoured within 250 ms", f"{one.at_ms - told:.0f} ms at {one.who}")
-        left = next((end.at_ms for end in self.story if end.kind is What.GAVE_UP), None)
+        left = next((end.at_ms for end in self.story if end.kind is EntryKind.GAVE_UP), None)
         if left is not None and one.at_ms > left + DRAIN_MS:
             self.bad("nothing sent for a call that is over", f"{one.at_ms - left:.0f} ms at {one.who}")
 
     def _ends(self, offered: Entry) -> None:
         """What stood at a caller is released to it, and what stood at a server is released there."""
-        stands = next((one for one in self.story if one.kind is What.STANDS), None)
+        stands = next((one for one in self.story if one.kind is EntryKind.STANDS), None)
         if stands is not None:
-            over = next((one for one in self.story if one.kind in (What.RELEASED, What.LEFT)), None)
+            over = next((one for one in self.story if one.kind in (EntryKind.RELEASED, EntryKind.LEFT)), None)
             due = self._due(stands)
             if due is not None and (over is None or over.at_ms > due) and due < self.ended_ms:
                 late = "never" if over is None else f"{over.at_ms - due:.0f} ms late"
                 self.bad("releases passed on", f"{late} of {stands.description[:20]!r}")
             if over is None and self.done:
                 self.bad("nothing left standing at a caller", offered.protocol)
-        for answer in [one for one in self.story if one.kind is What.ANSWERED]:
+        for answer in [one for one in self.story if one.kind is EntryKind.ANSWERED]:
             ended = any(
                 one.who == answer.who and one.at_ms >= answer.at_ms
-                and one.kind in (What.OVER, What.ENDED, What.WITHDRAWN)
+                and one.kind in (EntryKind.OVER, EntryKind.ENDED, EntryKind.WITHDRAWN)
                 for one in self.story
             ) or any(at >= answer.at_ms for at in self.died[answer.who])  # fmt: skip
             if not ended and self.done:
@@ -178,14 +178,14 @@
             (
                 one
                 for one in self.story
-                if one.kind is What.ANSWERED and one.description == stands.description
+                if one.kind is EntryKind.ANSWERED and one.description == stands.description
             ),
             None,
         )
         if answer is None:
             return None
         for one in self.story:
-            if one.kind is What.ENDED and one.who == answer.who and one.at_ms >= answer.at_ms:
+            if one.kind is EntryKind.ENDED and one.who == answer.who and one.at_ms >= answer.at_ms:
                 return one.at_ms + RELEASE_MS + SLACK_MS
         deaths = [at for at in self.died[answer.who] if at >= answer.at_ms]
         return deaths[0] + DEAD_MS + SLACK_MS if deaths else None
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from pearloom.core.config import Address
-from pearloom.fakes.journal import Journal, What
+from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.reading import Decoder, messages
 from pearloom.fakes.script import Act, Behaviour, Manner
 from pearloom.sip import codec as sip
@@ -68,7 +68,7 @@
         sock.close()
         for call, held in list(self._calls.items()):
             if held.sock is sock and not held.stands:
-                self._journal.add(What.DROPPED, self.server, call)
+                self._journal.add(EntryKind.DROPPED, self.server, call)
                 del self._calls[call]
 
     def _message(self, sock: socket.socket, message: sip.Request | sip.Response) -> None:
@@ -80,16 +80,16 @@
         elif message.method == "CANCEL":
             held = self._calls.get(call)
             if held is not None and not held.stands:
-                self._journal.add(What.WITHDRAWN, self.server, call)
+                self._journal.add(EntryKind.WITHDRAWN, self.server, call)
                 del self._calls[call]
         elif message.method == "BYE":
             self._write(sock, sip.encode_response(message, 200, "OK"))
             if self._calls.pop(call, None) is not None:
-                self._journal.add(What.OVER, self.server, call)
+                self._journal.add(EntryKind.OVER, self.server, call)
 
     def _invited(self, sock: socket.socket, call: str, request: sip.Request) -> None:
         self._journal.add(
-            What.SET_UP,
+            EntryKind.SET_UP,
             self.server,
             call,
             request.headers.get("x-call-class", ""),
@@ -108,7 +108,7 @@
         if act.behaviour is Behaviour.TURN:
             status, why = _STATUS.get(act.cause, (500, ""))
             del self._calls[call]
-            self._journal.add(What.TURNED, self.server, call)
+            self._journal.add(EntryKind.TURNED, self.server, call)
             self._write(
                 held.sock, self._response(call, held, status, f"X-Why: {why}\r\n" if why else "", b"")
             )
@@ -118,9 +118,9 @@
         held.stands = True
         spoilt = act.behaviour is Behaviour.SPOIL
         if not spoilt:
-            self._journal.add(What.ANSWERED, self.server, call, description=made)
+            self._journal.add(EntryKind.ANSWERED, self.server, call, description=made)
         else:
-            self._journal.add(What.TURNED, self.server, call)
+            self._journal.add(EntryKind.TURNED, self.server, call)
             del self._calls[call]
         self._write(held.sock, self._response(call, held, 200, "", b"" if spoilt else made))
         if not spoilt:
@@ -135,7 +135,7 @@
         if self._calls.get(call) is not held:
             return
         del self._calls[call]
-        self._journal.add(What.ENDED, self.server, call)
+        self._journal.add(EntryKind.ENDED, self.server, call)
         bye = sip.encode_request("BYE", "peer", call, 2, {"Reason": "Q.850;cause=16"})
         # On its set-up's connection; where that is gone, on any that is open.
         for sock in [one for one in (held.sock, *self._socks) if one in self._socks][:1]:
@@ -147,7 +147,7 @@
 
     def die(self) -> None:
         """The process ends: its connections are reset, its calls cut."""
-        self._journal.add(What.DIED, self.server)
+        self._journal.add(EntryKind.DIED, self.server)
         self._calls.clear()
         self.close()
 
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -11,7 +11,7 @@
 
 from pearloom.fakes.coordinator import Listed
 from pearloom.fakes.fleet import Act, Rig, Step, broken_slots, play
-from pearloom.fakes.journal import What
+from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Manner
 
 QUICK = {"settle_ms": 300, "take_up_ms": 1_500, "drain_ms": 1_500, "floor": 0.3, "out_zone": 1, "out": 1}
@@ -54,14 +54,20 @@
     (turn,) = rig.work("n2", "s-00000001")
     rig.until(lambda: rig.phase(turn) == "out")
     gevent.sleep(0.3)
-    before = [one.at_ms for one in rig.journal.entries if one.kind is What.SET_UP and one.who == "s-00000001"]
+    before = [
+        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000001"
+    ]
     gevent.sleep(1.0)
-    after = [one.at_ms for one in rig.journal.entries if one.kind is What.SET_UP and one.who == "s-00000001"]
+    after = [
+        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000001"
+    ]
     assert before == after and before, "no new set-up while it is out"
     assert rig.ask("n1", "POST", f"/v1/work/{turn}") == (200, "ok\n")
     rig.until(lambda: rig.phase(turn) == "done")
     calling.join()
-    last = [one.at_ms for one in rig.journal.entries if one.kind is What.SET_UP and one.who == "s-00000001"]
+    last = [
+        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000001"
+    ]
     assert len(last) > len(after), "it serves again"
     judged(rig)
 
@@ -85,7 +91,7 @@
 def test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant(started: Starter) -> None:
     rig = started(13, holds_ms=600_000.0, drain_ms=60_000)
     rig.place("n2", holds_ms=9_000.0)  # a call that stands there: the drain does not end by itself
-    rig.until(lambda: any(one.kind is What.STANDS for one in rig.journal.entries))
+    rig.until(lambda: any(one.kind is EntryKind.STANDS for one in rig.journal.entries))
     (first,) = rig.work("n1", "n2")
     rig.until(lambda: rig.phase(first) == "draining")
     second, *_ = rig.work("n3", "n3")
@@ -149,16 +155,16 @@
     rig.play(40.0, 4.0)
     rig.gateway.faults.paused = False
     rig.settle()
-    offered = {one.call: one.at_ms for one in rig.journal.entries if one.kind is What.OFFERED}
+    offered = {one.call: one.at_ms for one in rig.journal.entries if one.kind is EntryKind.OFFERED}
     took: tuple[list[float], list[float]] = ([], [])
     for one in rig.journal.entries:
-        if one.kind is What.STANDS:
+        if one.kind is EntryKind.STANDS:
             took[offered[one.call] >= stalled_ms].append(one.at_ms - offered[one.call])
     before, during = (sorted(times)[int(0.95 * len(times))] for times in took)
     assert len(took[1]) >= 0.98 * sum(at >= stalled_ms for at in offered.values())
     assert during <= before + 150.0, "a call of the store takes 400 ms to end"
     judged(rig)
-    stalled = [one for one in rig.journal.entries if one.kind is What.SET_UP and one.who == "s-00000003"]
+    stalled = [one for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000003"]
     assert not [one for one in stalled if one.at_ms > stalled_ms]
 
 
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pearloom.fakes.fleet import Act, Rig, Step, broken_rules, play
-from pearloom.fakes.journal import What
+from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Faults, Manner
 
 QUICK = {
@@ -246,14 +246,14 @@
     rig.until(lambda: done(rig, "n1", 2), 3.0)
     calling.join()
     way.heal()
-    standing = [one for one in rig.journal.entries if one.kind is What.STANDS]
+    standing = [one for one in rig.journal.entries if one.kind is EntryKind.STANDS]
     assert standing[-1].at_ms > standing[0].at_ms + 5_000, "the other servers take the calls again"
     rig.settle(25.0)
     assert broken_rules(rig.gateway.store) == []
 
 
 def _set_ups(rig: Rig, server: str) -> int:
-    return sum(one.kind is What.SET_UP and one.who == server for one in rig.journal.entries)
+    return sum(one.kind is EntryKind.SET_UP and one.who == server for one in rig.journal.entries)
 
 
 def test_a_wall_clock_an_hour_off_changes_nothing(started: Starter) -> None:
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from pearloom.fakes.journal import What
+from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Manner
 from pearloom.fakes.stage import Stage
 
@@ -25,7 +25,7 @@
     assert code == 0
 
 
-def count(stage: Stage, what: What, who: str = "") -> int:
+def count(stage: Stage, what: EntryKind, who: str = "") -> int:
     return sum(one.kind is what and who in ("", one.who) for one in stage.journal.entries)
 
 
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -14,7 +14,7 @@
 from gevent import socket
 
 from pearloom.fakes.callers import Iax2Caller
-from pearloom.fakes.journal import What
+from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Manner
 from pearloom.fakes.stage import Stage
 from pearloom.iax2.frames import (
@@ -68,14 +68,14 @@
         plain.sock.send(new)
         answer = plain.hear(4, Type.CONTROL)
         gevent.sleep(0.2)
-        assert count(stage, What.SET_UP) == 1
+        assert count(stage, EntryKind.SET_UP) == 1
         hang_up = Full(7, answer.source, 9, 1, 2, Type.IAX, Iax.HANGUP)
         plain.sock.send(encode_full(hang_up))
         gevent.sleep(0.2)
         for _ in range(3):
             plain.sock.send(new)
         gevent.sleep(0.3)
-        assert count(stage, What.SET_UP) == 1 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.SET_UP) == 1 and stage.iax2[0].standing == 0
         assert stage.counters()["iax2_late_new"] == 3
 
 
@@ -115,8 +115,10 @@
             first_choice(stage, number % 2, 1, patience_ms=4_000.0)
             gevent.sleep(0.05)
         settled(stage)
-        assert count(stage, What.SET_UP, "s-00000011") == 4
-        assert count(stage, What.STANDS) > 10, "the server is unreachable for a while, and the other is there"
+        assert count(stage, EntryKind.SET_UP, "s-00000011") == 4
+        assert (
+            count(stage, EntryKind.STANDS) > 10
+        ), "the server is unreachable for a while, and the other is there"
         assert "iax2_numbers_out" in stage.log()
 
 
@@ -125,7 +127,7 @@
         for _ in range(8):
             stage.callers[0].place(stage.offer())
         gevent.sleep(1.0)
-        assert count(stage, What.STANDS) == 5 and count(stage, What.REFUSED) == 3
+        assert count(stage, EntryKind.STANDS) == 5 and count(stage, EntryKind.REFUSED) == 3
 
 
 def test_legs_that_never_say_who_they_are_go_in_time_and_make_room() -> None:
@@ -140,7 +142,7 @@
         assert stage.counters()["iax2_half_open_dropped"] >= 3
         stage.callers[0].place(stage.offer())
         gevent.sleep(0.6)
-        assert count(stage, What.STANDS) == 1
+        assert count(stage, EntryKind.STANDS) == 1
         mute.close()
 
 
@@ -201,7 +203,7 @@
             flood.kill()
         assert rate > 10_000, "the flood itself was too slow to say anything"
         settled(stage)
-        stood, offered = count(stage, What.STANDS), count(stage, What.OFFERED)
+        stood, offered = count(stage, EntryKind.STANDS), count(stage, EntryKind.OFFERED)
         assert stood >= 0.95 * offered, f"{stood} of {offered} at {rate:.0f} a second"
         assert _memory_mb(stage.process.pid) < before + 24
 
@@ -224,7 +226,7 @@
         wrong = Full(leg.source + 1, leg.transport.destination, 9, 0, 1, Type.CONTROL, 4, made)
         stage.iax2[0]._sock.sendto(encode_full(wrong), leg.peer[0])
         settled(stage)
-        assert count(stage, What.STANDS) == 0
+        assert count(stage, EntryKind.STANDS) == 0
 
 
 def test_noise_on_a_trunk_spoils_nothing() -> None:
@@ -274,5 +276,5 @@
         stage.iax2[0].nameless = True
         first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
-        stood = [one for one in stage.journal.entries if one.kind is What.STANDS]
+        stood = [one for one in stage.journal.entries if one.kind is EntryKind.STANDS]
         assert [one.description[:10] for one in stood] == [b"s-00000001"]
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 
-from pearloom.fakes.journal import What
+from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Faults, Manner
 from pearloom.fakes.stage import Stage
 from pearloom.iax2.frames import (
@@ -22,8 +22,8 @@
     with played(Stage(3, sip=(SHORT,), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
         first_choice(stage, 0, 1, patience_ms=2_000.0)
         settled(stage)
-        assert count(stage, What.FAILED) == 1
-        assert count(stage, What.SET_UP) == count(stage, What.WITHDRAWN, "s-00000011") == 1
+        assert count(stage, EntryKind.FAILED) == 1
+        assert count(stage, EntryKind.SET_UP) == count(stage, EntryKind.WITHDRAWN, "s-00000011") == 1
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
@@ -31,7 +31,7 @@
         for caller in (0, 1):
             first_choice(stage, caller, 1, patience_ms=7_000.0)
         settled(stage)
-        assert count(stage, What.STANDS) == 2 and count(stage, What.SET_UP, "s-00000001") == 2
+        assert count(stage, EntryKind.STANDS) == 2 and count(stage, EntryKind.SET_UP, "s-00000001") == 2
 
 
 def test_a_repeated_new_for_a_server_that_drained_is_new_work_and_does_not_leave() -> None:
@@ -43,7 +43,7 @@
         stage.drain(server)
         server.deaf_to.clear()
         settled(stage)
-        assert count(stage, What.SET_UP, server.server) == 0 and count(stage, What.STANDS) == 1
+        assert count(stage, EntryKind.SET_UP, server.server) == 0 and count(stage, EntryKind.STANDS) == 1
 
 
 def test_a_lost_acknowledgement_is_no_proof() -> None:
@@ -56,7 +56,7 @@
         server._out._faults = Faults(loses=1.0)
         first_choice(stage, 0, 1, patience_ms=8_000.0)
         settled(stage)
-        assert count(stage, What.SET_UP, server.server) == 1 and count(stage, What.STANDS) == 1
+        assert count(stage, EntryKind.SET_UP, server.server) == 1 and count(stage, EntryKind.STANDS) == 1
 
 
 def test_an_answer_after_the_caller_gave_up_stands_for_nobody() -> None:
@@ -66,7 +66,7 @@
             caller.place(stage.offer(patience_ms=880.0))
         gevent.sleep(1.5)
         settled(stage)
-        assert count(stage, What.STANDS) == 0 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.STANDS) == 0 and stage.iax2[0].standing == 0
 
 
 @pytest.mark.parametrize("how", ["restarts", "ends", "vanishes"])
@@ -75,9 +75,9 @@
         for number in range(40):
             stage.callers[number % 2].place(stage.offer())
         until = time.time() + 3.0  # the callers' patience
-        while count(stage, What.STANDS) < 40 and time.time() < until:
+        while count(stage, EntryKind.STANDS) < 40 and time.time() < until:
             gevent.sleep(0.02)
-        assert count(stage, What.STANDS) == 40
+        assert count(stage, EntryKind.STANDS) == 40
         server = stage.iax2[0]
         server.die()
         if how == "restarts":
@@ -86,7 +86,7 @@
             server.silent = True
             server.revive()
         began = time.time()
-        while count(stage, What.RELEASED) < 40:
+        while count(stage, EntryKind.RELEASED) < 40:
             assert time.time() - began < (
                 3.0 if how == "ends" else 8.05
             ), "that nobody listens is told at once"
@@ -99,7 +99,7 @@
         for caller in stage.callers:
             caller.place(stage.offer())
         gevent.sleep(9.0)
-        assert count(stage, What.STANDS) == 2 and count(stage, What.RELEASED) == 0
+        assert count(stage, EntryKind.STANDS) == 2 and count(stage, EntryKind.RELEASED) == 0
         assert stage.counters()["pings_out"] > 0
 
 
@@ -108,12 +108,14 @@
         for caller in (0, 1):
             first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
-        assert count(stage, What.SET_UP) >= 1
+        assert count(stage, EntryKind.SET_UP) >= 1
         stage.iax2[0].silent = True
         gevent.sleep(1.5)
         report = stage.report(done=False)
         assert not report.broken, report.broken
-        assert count(stage, What.FAILED) + count(stage, What.REFUSED) == 2 and not count(stage, What.GAVE_UP)
+        assert count(stage, EntryKind.FAILED) + count(stage, EntryKind.REFUSED) == 2 and not count(
+            stage, EntryKind.GAVE_UP
+        )
 
 
 def test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work() -> None:
@@ -133,5 +135,5 @@
         server._datagram = late  # type: ignore[method-assign]
         stage.play(60, 6, leaves=0.0)
         settled(stage)
-        again = count(stage, What.SET_UP) - count(stage, What.OFFERED)
+        again = count(stage, EntryKind.SET_UP) - count(stage, EntryKind.OFFERED)
         assert again >= 2, "no attempt followed one in doubt"
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from pearloom.fakes.journal import What
+from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.rules import Report
 from pearloom.fakes.script import Faults, Manner
 from pearloom.fakes.stage import Stage
@@ -47,10 +47,12 @@
         report.broken = [one for one in report.broken if one not in known]
         well(report)
         assert "Traceback" not in stage.log() and "_failed" not in stage.log()
-        stood = {key[1:3] for key in report.ends if key[3] == What.STANDS.name}
+        stood = {key[1:3] for key in report.ends if key[3] == EntryKind.STANDS.name}
         assert stood == {(one, other) for one in ("binary", "iax2") for other in ("sip", "iax2")}
         # Some second attempts cross; how many rests on timing on real sockets (5 in one CI run).
         assert report.crossed > 0, "no second attempt went over the other protocol"
-        late = [one for one in stage.journal.entries if one.kind is What.SET_UP and one.who == "s-00000012"]
-        told = next(one.at_ms for one in stage.journal.entries if one.kind is What.TOLD)
+        late = [
+            one for one in stage.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000012"
+        ]
+        told = next(one.at_ms for one in stage.journal.entries if one.kind is EntryKind.TOLD)
         assert late[0].at_ms < told and late[-1].at_ms < told + 300
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -4,26 +4,26 @@
 
 import pytest
 
-from pearloom.fakes.journal import Entry, What
+from pearloom.fakes.journal import Entry, EntryKind
 from pearloom.fakes.rules import check
 
 ALLOWED = {"open-form": ["a", "b", "c", "d", "e"]}
 FIELDS = {"kind": "open-form", "protocol": "iax2", "description": b"sdp", "number": "1"}
 
 
-def entry(at_ms: float, what: What, who: str = "a", **more: object) -> Entry:
-    fields: dict[str, object] = dict(FIELDS) if what in (What.OFFERED, What.SET_UP) else {}
-    if what is What.OFFERED:
+def entry(at_ms: float, what: EntryKind, who: str = "a", **more: object) -> Entry:
+    fields: dict[str, object] = dict(FIELDS) if what in (EntryKind.OFFERED, EntryKind.SET_UP) else {}
+    if what is EntryKind.OFFERED:
         fields["patience_ms"] = 3000.0
-    if what in (What.ANSWERED, What.STANDS):
+    if what in (EntryKind.ANSWERED, EntryKind.STANDS):
         fields["description"] = b"made"
-    call = "" if what in (What.TOLD, What.DIED) else "1"
+    call = "" if what in (EntryKind.TOLD, EntryKind.DIED) else "1"
     return Entry(at_ms, what, who, call, **(fields | more))  # type: ignore[arg-type]
 
 
 GOOD = [
-    entry(0, What.OFFERED, "caller"), entry(10, What.SET_UP), entry(20, What.ANSWERED),
-    entry(30, What.STANDS, "caller"), entry(900, What.ENDED), entry(1000, What.RELEASED, "caller"),
+    entry(0, EntryKind.OFFERED, "caller"), entry(10, EntryKind.SET_UP), entry(20, EntryKind.ANSWERED),
+    entry(30, EntryKind.STANDS, "caller"), entry(900, EntryKind.ENDED), entry(1000, EntryKind.RELEASED, "caller"),
 ]  # fmt: skip
 
 
@@ -39,25 +39,25 @@
     ("rule", "story"),
     [
         ("one final answer", GOOD[:1]),
-        ("one final answer", [*GOOD, entry(1100, What.FAILED, "caller")]),
-        ("no answer after a give-up", [GOOD[0], entry(5, What.GAVE_UP, "caller"), *GOOD[1:]]),
-        ("answered in time", [GOOD[0], entry(3100, What.FAILED, "caller")]),
-        ("served only with what a server made", [*GOOD[:3], entry(30, What.STANDS, "x", description=b"x")]),
-        ("one attempt out", [*GOOD[:2], entry(15, What.SET_UP, "b"), *GOOD[2:]]),
-        ("300 ms after doubt", [*GOOD[:2], entry(500, What.WITHDRAWN), entry(700, What.SET_UP, "b")]),
-        ("300 ms after doubt", [*GOOD[:2], entry(500, What.DROPPED), entry(700, What.SET_UP, "b")]),
+        ("one final answer", [*GOOD, entry(1100, EntryKind.FAILED, "caller")]),
+        ("no answer after a give-up", [GOOD[0], entry(5, EntryKind.GAVE_UP, "caller"), *GOOD[1:]]),
+        ("answered in time", [GOOD[0], entry(3100, EntryKind.FAILED, "caller")]),
+        ("served only with what a server made", [*GOOD[:3], entry(30, EntryKind.STANDS, "x", description=b"x")]),
+        ("one attempt out", [*GOOD[:2], entry(15, EntryKind.SET_UP, "b"), *GOOD[2:]]),
+        ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.WITHDRAWN), entry(700, EntryKind.SET_UP, "b")]),
+        ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.DROPPED), entry(700, EntryKind.SET_UP, "b")]),
         ("four attempts at most", [GOOD[0], *[one for n, who in enumerate("abcde") for one in
-                                   (entry(n * 9, What.SET_UP, who), entry(n * 9 + 1, What.TURNED, who))]]),
-        ("only pools of its class", [GOOD[0], entry(5, What.SET_UP, "z")]),
-        ("no changed description", [GOOD[0], entry(5, What.SET_UP, description=b"sdq")]),
-        ("drains honoured within 250 ms", [entry(-400, What.TOLD, kind="draining"), *GOOD]),
-        ("nothing sent for a call that is over", [GOOD[0], entry(5, What.GAVE_UP, "caller"),
-                                                  entry(300, What.SET_UP)]),
-        ("releases passed on", [*GOOD[:5], entry(2000, What.RELEASED, "caller")]),
-        ("releases passed on", [*GOOD[:4], entry(900, What.DIED), entry(9200, What.RELEASED, "caller")]),
+                                   (entry(n * 9, EntryKind.SET_UP, who), entry(n * 9 + 1, EntryKind.TURNED, who))]]),
+        ("only pools of its class", [GOOD[0], entry(5, EntryKind.SET_UP, "z")]),
+        ("no changed description", [GOOD[0], entry(5, EntryKind.SET_UP, description=b"sdq")]),
+        ("drains honoured within 250 ms", [entry(-400, EntryKind.TOLD, kind="draining"), *GOOD]),
+        ("nothing sent for a call that is over", [GOOD[0], entry(5, EntryKind.GAVE_UP, "caller"),
+                                                  entry(300, EntryKind.SET_UP)]),
+        ("releases passed on", [*GOOD[:5], entry(2000, EntryKind.RELEASED, "caller")]),
+        ("releases passed on", [*GOOD[:4], entry(900, EntryKind.DIED), entry(9200, EntryKind.RELEASED, "caller")]),
         ("nothing left standing at a caller", GOOD[:4]),
         ("nothing left standing at a server", GOOD[:3]),
-        ("no set-up that no caller sent", [entry(10, What.SET_UP)]),
+        ("no set-up that no caller sent", [entry(10, EntryKind.SET_UP)]),
     ],
 )  # fmt: skip
 def test_each_broken_rule_is_found(rule: str, story: list[Entry]) -> None:
@@ -65,8 +65,8 @@
 
 
 def test_a_dead_server_ends_its_attempts_and_calls() -> None:
-    story = [*GOOD[:2], entry(100, What.DIED), entry(450, What.SET_UP, "b"), entry(460, What.TURNED, "b"),
-             entry(470, What.REFUSED, "caller")]  # fmt: skip
+    story = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"), entry(460, EntryKind.TURNED, "b"),
+             entry(470, EntryKind.REFUSED, "caller")]  # fmt: skip
     assert broken(story) == set()
-    story = [*GOOD[:4], entry(900, What.DIED), entry(8000, What.RELEASED, "caller")]
+    story = [*GOOD[:4], entry(900, EntryKind.DIED), entry(8000, EntryKind.RELEASED, "caller")]
     assert broken(story) == set()
