--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -190,7 +190,7 @@
     def excuse(self, name: str) -> None:
         """Its process ends or stops this moment: no rule holds for the calls that it has now."""
         offered = (one for one in self.journal.entries if one.kind is EntryKind.OFFERED)
-        self._excused |= {one.call for one in offered if one.who == f"caller-{name}"}
+        self._excused |= {one.call for one in offered if one.party == f"caller-{name}"}
 
     def _history(self) -> Journal:
         """What was seen, less the calls that a killed or stopped softswitch had."""
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -34,7 +34,7 @@
 
     at_ms: float
     kind: EntryKind
-    who: str  # the server's id, or the caller's name
+    party: str  # the server's id, or the caller's name
     call: str = ""
     label: str = ""  # the call's class; for TOLD the state
     protocol: str = ""
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -52,9 +52,9 @@
     died: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
         if entry.kind is EntryKind.TOLD and entry.label != "ready":
-            told.setdefault(entry.who, entry.at_ms)
+            told.setdefault(entry.party, entry.at_ms)
         elif entry.kind is EntryKind.DIED:
-            died[entry.who].append(entry.at_ms)
+            died[entry.party].append(entry.at_ms)
         elif entry.call:
             by_call[entry.call].append(entry)
     for call, story in by_call.items():
@@ -86,7 +86,7 @@
     def check(self) -> None:
         offered = next((one for one in self.story if one.kind is EntryKind.OFFERED), None)
         if offered is None:
-            self.bad("no set-up that no caller sent", f"{self.story[0].kind.name} at {self.story[0].who}")
+            self.bad("no set-up that no caller sent", f"{self.story[0].kind.name} at {self.story[0].party}")
             return
         self._answers(offered)
         self._attempts(offered)
@@ -120,19 +120,21 @@
         free_ms = -math.inf  # an attempt in doubt ended then
         attempts = 0
         for one in self.story:
-            deaths = [] if out is None else [at for at in self.died[out.who] if out.at_ms <= at <= one.at_ms]
+            deaths = (
+                [] if out is None else [at for at in self.died[out.party] if out.at_ms <= at <= one.at_ms]
+            )
             if deaths:
                 out, free_ms = None, deaths[0]
             if one.kind is EntryKind.SET_UP:
                 attempts += 1
-                self.report.attempts[one.who] += 1
+                self.report.attempts[one.party] += 1
                 self._attempt(offered, one)
                 if out is not None:
-                    self.bad("one attempt out", f"{out.who} and {one.who}")
+                    self.bad("one attempt out", f"{out.party} and {one.party}")
                 if one.at_ms - free_ms < PAUSE_MS - SLACK_MS:
-                    self.bad("300 ms after doubt", f"{one.at_ms - free_ms:.0f} ms at {one.who}")
+                    self.bad("300 ms after doubt", f"{one.at_ms - free_ms:.0f} ms at {one.party}")
                 out = one
-            elif out is not None and one.who == out.who:
+            elif out is not None and one.party == out.party:
                 if one.kind in (EntryKind.WITHDRAWN, EntryKind.DROPPED):
                     out, free_ms = None, one.at_ms
                 elif one.kind in (EntryKind.ANSWERED, EntryKind.TURNED):
@@ -141,16 +143,16 @@
             self.bad("four attempts at most", str(attempts))
 
     def _attempt(self, offered: Entry, one: Entry) -> None:
-        if one.who not in self.allowed.get(offered.label, ()):
-            self.bad("only pools of its class", one.who)
+        if one.party not in self.allowed.get(offered.label, ()):
+            self.bad("only pools of its class", one.party)
         if (one.label, one.number, one.description) != (offered.label, offered.number, offered.description):
             self.bad("no changed description", f"{one.label} {one.number} {len(one.description)} bytes")
-        told = self.told.get(one.who)
+        told = self.told.get(one.party)
         if told is not None and one.at_ms > told + DRAIN_MS + SLACK_MS:
-            self.bad("drains honoured within 250 ms", f"{one.at_ms - told:.0f} ms at {one.who}")
+            self.bad("drains honoured within 250 ms", f"{one.at_ms - told:.0f} ms at {one.party}")
         left = next((end.at_ms for end in self.story if end.kind is EntryKind.GAVE_UP), None)
         if left is not None and one.at_ms > left + DRAIN_MS:
-            self.bad("nothing sent for a call that is over", f"{one.at_ms - left:.0f} ms at {one.who}")
+            self.bad("nothing sent for a call that is over", f"{one.at_ms - left:.0f} ms at {one.party}")
 
     def _ends(self, offered: Entry) -> None:
         """What stood at a caller is released to it, and what stood at a server is released there."""
@@ -165,12 +167,12 @@
                 self.bad("nothing left standing at a caller", offered.protocol)
         for answer in [one for one in self.story if one.kind is EntryKind.ANSWERED]:
             ended = any(
-                one.who == answer.who and one.at_ms >= answer.at_ms
+                one.party == answer.party and one.at_ms >= answer.at_ms
                 and one.kind in (EntryKind.OVER, EntryKind.ENDED, EntryKind.WITHDRAWN)
                 for one in self.story
-            ) or any(at >= answer.at_ms for at in self.died[answer.who])  # fmt: skip
+            ) or any(at >= answer.at_ms for at in self.died[answer.party])  # fmt: skip
             if not ended and self.done:
-                self.bad("nothing left standing at a server", answer.who)
+                self.bad("nothing left standing at a server", answer.party)
 
     def _due(self, stands: Entry) -> float | None:
         """Until when the caller has to hear that its call is over."""
@@ -185,7 +187,7 @@
         if answer is None:
             return None
         for one in self.story:
-            if one.kind is EntryKind.ENDED and one.who == answer.who and one.at_ms >= answer.at_ms:
+            if one.kind is EntryKind.ENDED and one.party == answer.party and one.at_ms >= answer.at_ms:
                 return one.at_ms + RELEASE_MS + SLACK_MS
-        deaths = [at for at in self.died[answer.who] if at >= answer.at_ms]
+        deaths = [at for at in self.died[answer.party] if at >= answer.at_ms]
         return deaths[0] + DEAD_MS + SLACK_MS if deaths else None
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -55,18 +55,18 @@
     rig.until(lambda: rig.phase(turn) == "out")
     gevent.sleep(0.3)
     before = [
-        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000001"
+        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000001"
     ]
     gevent.sleep(1.0)
     after = [
-        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000001"
+        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000001"
     ]
     assert before == after and before, "no new set-up while it is out"
     assert rig.ask("n1", "POST", f"/v1/work/{turn}") == (200, "ok\n")
     rig.until(lambda: rig.phase(turn) == "done")
     calling.join()
     last = [
-        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000001"
+        one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000001"
     ]
     assert len(last) > len(after), "it serves again"
     judged(rig)
@@ -164,7 +164,9 @@
     assert len(took[1]) >= 0.98 * sum(at >= stalled_ms for at in offered.values())
     assert during <= before + 150.0, "a call of the store takes 400 ms to end"
     judged(rig)
-    stalled = [one for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000003"]
+    stalled = [
+        one for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000003"
+    ]
     assert not [one for one in stalled if one.at_ms > stalled_ms]
 
 
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -253,7 +253,7 @@
 
 
 def _set_ups(rig: Rig, server: str) -> int:
-    return sum(one.kind is EntryKind.SET_UP and one.who == server for one in rig.journal.entries)
+    return sum(one.kind is EntryKind.SET_UP and one.party == server for one in rig.journal.entries)
 
 
 def test_a_wall_clock_an_hour_off_changes_nothing(started: Starter) -> None:
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -26,7 +26,7 @@
 
 
 def count(stage: Stage, what: EntryKind, who: str = "") -> int:
-    return sum(one.kind is what and who in ("", one.who) for one in stage.journal.entries)
+    return sum(one.kind is what and who in ("", one.party) for one in stage.journal.entries)
 
 
 def settled(stage: Stage, for_s: float = 20.0) -> None:
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -52,7 +52,7 @@
         # Some second attempts cross; how many rests on timing on real sockets (5 in one CI run).
         assert report.crossed > 0, "no second attempt went over the other protocol"
         late = [
-            one for one in stage.journal.entries if one.kind is EntryKind.SET_UP and one.who == "s-00000012"
+            one for one in stage.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000012"
         ]
         told = next(one.at_ms for one in stage.journal.entries if one.kind is EntryKind.TOLD)
         assert late[0].at_ms < told and late[-1].at_ms < told + 300
