--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -53,7 +53,7 @@
     def add(
         self,
         kind: EntryKind,
-        who: str,
+        party: str,
         call: str = "",
         label: str = "",
         protocol: str = "",
@@ -63,7 +63,7 @@
     ) -> None:
         """Note what happened just now."""
         at = time.time() * 1000.0
-        self.entries.append(Entry(at, kind, who, call, label, protocol, description, number, patience_ms))
+        self.entries.append(Entry(at, kind, party, call, label, protocol, description, number, patience_ms))
 
     @property
     def quiet(self) -> bool:
