--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -66,7 +66,7 @@
         self.entries.append(Entry(at, kind, party, call, label, protocol, description, number, patience_ms))
 
     @property
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Is every call over, and every answer that is owed given, as the callers were told?"""
         over = {EntryKind.STANDS: 1, EntryKind.RELEASED: -1, EntryKind.LEFT: -1}
         final = (EntryKind.STANDS, EntryKind.REFUSED, EntryKind.FAILED, EntryKind.GAVE_UP)
