--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -56,11 +56,11 @@
         before = _cpu_s(stage)
         gevent.sleep(seconds)
         idle = _cpu_s(stage) - before
-        stood = sum(one.kind is EntryKind.STANDS for one in stage.journal.entries)
+        stood = sum(one.kind is EntryKind.ESTABLISHED for one in stage.journal.entries)
         before = _cpu_s(stage)
         stage.play(rate, seconds, leaves=0.0)
         busy = _cpu_s(stage) - before
-        calls = sum(one.kind is EntryKind.STANDS for one in stage.journal.entries) - stood
+        calls = sum(one.kind is EntryKind.ESTABLISHED for one in stage.journal.entries) - stood
     finally:
         stage.close()
     if calls < 0.95 * rate * seconds:
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -124,7 +124,7 @@
         if message.type == Type.ANSWER and held is not None:
             held.stands = held.told = True
             made = message.parameters.get(Code.DESCRIPTION, b"")
-            self._journal.add(EntryKind.STANDS, self.name, message.call, description=made)
+            self._journal.add(EntryKind.ESTABLISHED, self.name, message.call, description=made)
         elif message.type == Type.RELEASE:
             sock.sendall(isup.encode(Message(Type.RELEASE_COMPLETE, message.call)))
             if held is not None:
@@ -223,7 +223,7 @@
         match event:
             case Answered(description, _):
                 leg.stands = True
-                self._journal.add(EntryKind.STANDS, self.name, leg.call, description=description or b"")
+                self._journal.add(EntryKind.ESTABLISHED, self.name, leg.call, description=description or b"")
             case Rejected(_, cause, _, _):
                 what = EntryKind.REFUSED if cause in REFUSED else EntryKind.FAILED
                 self._journal.add(what, self.name, leg.call)
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -11,7 +11,7 @@
     """What an entry tells."""
 
     OFFERED = "a caller sent a set-up"
-    STANDS = "a caller was told that its call stands"
+    ESTABLISHED = "a caller was told that its call stands"
     REFUSED = "a caller was refused"
     FAILED = "a caller was told that its set-up failed"
     GAVE_UP = "a caller gave its set-up up"
@@ -68,8 +68,8 @@
     @property
     def is_quiet(self) -> bool:
         """Is every call over, and every answer that is owed given, as the callers were told?"""
-        over = {EntryKind.STANDS: 1, EntryKind.RELEASED: -1, EntryKind.LEFT: -1}
-        final = (EntryKind.STANDS, EntryKind.REFUSED, EntryKind.FAILED, EntryKind.GAVE_UP)
+        over = {EntryKind.ESTABLISHED: 1, EntryKind.RELEASED: -1, EntryKind.LEFT: -1}
+        final = (EntryKind.ESTABLISHED, EntryKind.REFUSED, EntryKind.FAILED, EntryKind.GAVE_UP)
         held = sum(over.get(one.kind, 0) for one in self.entries)
         owed = sum((one.kind is EntryKind.OFFERED) - (one.kind in final) for one in self.entries)
         return held <= 0 and owed <= 0
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -15,7 +15,7 @@
 RELEASE_MS = 1_000.0  # from a server's release to its caller
 DEAD_MS = 8_000.0  # from a server's death to the callers of what stood there
 MOST_ATTEMPTS = 4
-_FINAL = (EntryKind.STANDS, EntryKind.REFUSED, EntryKind.FAILED)
+_FINAL = (EntryKind.ESTABLISHED, EntryKind.REFUSED, EntryKind.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
             if final.at_ms > due:
                 self.bad("answered in time", f"{final.at_ms - due:.0f} ms late")
             made = [one.description for one in self.story if one.kind is EntryKind.ANSWERED]
-            if final.kind is EntryKind.STANDS and final.description not in made:
+            if final.kind is EntryKind.ESTABLISHED and final.description not in made:
                 self.bad("served only with what a server made", f"{final.description[:40]!r}")
         servers = [one for one in self.story if one.kind is EntryKind.SET_UP]
         end = finals[0].kind.name if finals else "GAVE_UP" if left is not None else "NONE"
@@ -156,7 +156,7 @@
 
     def _ends(self, offered: Entry) -> None:
         """What stood at a caller is released to it, and what stood at a server is released there."""
-        stands = next((one for one in self.story if one.kind is EntryKind.STANDS), None)
+        stands = next((one for one in self.story if one.kind is EntryKind.ESTABLISHED), None)
         if stands is not None:
             over = next((one for one in self.story if one.kind in (EntryKind.RELEASED, EntryKind.LEFT)), None)
             due = self._due(stands)
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -91,7 +91,7 @@
 def test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant(started: Starter) -> None:
     rig = started(13, holds_ms=600_000.0, drain_ms=60_000)
     rig.place("n2", holds_ms=9_000.0)  # a call that stands there: the drain does not end by itself
-    rig.until(lambda: any(one.kind is EntryKind.STANDS for one in rig.journal.entries))
+    rig.until(lambda: any(one.kind is EntryKind.ESTABLISHED for one in rig.journal.entries))
     (first,) = rig.work("n1", "n2")
     rig.until(lambda: rig.phase(first) == "draining")
     second, *_ = rig.work("n3", "n3")
@@ -158,7 +158,7 @@
     offered = {one.call: one.at_ms for one in rig.journal.entries if one.kind is EntryKind.OFFERED}
     took: tuple[list[float], list[float]] = ([], [])
     for one in rig.journal.entries:
-        if one.kind is EntryKind.STANDS:
+        if one.kind is EntryKind.ESTABLISHED:
             took[offered[one.call] >= stalled_ms].append(one.at_ms - offered[one.call])
     before, during = (sorted(times)[int(0.95 * len(times))] for times in took)
     assert len(took[1]) >= 0.98 * sum(at >= stalled_ms for at in offered.values())
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -246,7 +246,7 @@
     rig.until(lambda: done(rig, "n1", 2), 3.0)
     calling.join()
     way.heal()
-    standing = [one for one in rig.journal.entries if one.kind is EntryKind.STANDS]
+    standing = [one for one in rig.journal.entries if one.kind is EntryKind.ESTABLISHED]
     assert standing[-1].at_ms > standing[0].at_ms + 5_000, "the other servers take the calls again"
     rig.settle(25.0)
     assert broken_rules(rig.gateway.store) == []
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -117,7 +117,7 @@
         settled(stage)
         assert count(stage, EntryKind.SET_UP, "s-00000011") == 4
         assert (
-            count(stage, EntryKind.STANDS) > 10
+            count(stage, EntryKind.ESTABLISHED) > 10
         ), "the server is unreachable for a while, and the other is there"
         assert "iax2_numbers_out" in stage.log()
 
@@ -127,7 +127,7 @@
         for _ in range(8):
             stage.callers[0].place(stage.offer())
         gevent.sleep(1.0)
-        assert count(stage, EntryKind.STANDS) == 5 and count(stage, EntryKind.REFUSED) == 3
+        assert count(stage, EntryKind.ESTABLISHED) == 5 and count(stage, EntryKind.REFUSED) == 3
 
 
 def test_legs_that_never_say_who_they_are_go_in_time_and_make_room() -> None:
@@ -142,7 +142,7 @@
         assert stage.counters()["iax2_half_open_dropped"] >= 3
         stage.callers[0].place(stage.offer())
         gevent.sleep(0.6)
-        assert count(stage, EntryKind.STANDS) == 1
+        assert count(stage, EntryKind.ESTABLISHED) == 1
         mute.close()
 
 
@@ -203,7 +203,7 @@
             flood.kill()
         assert rate > 10_000, "the flood itself was too slow to say anything"
         settled(stage)
-        stood, offered = count(stage, EntryKind.STANDS), count(stage, EntryKind.OFFERED)
+        stood, offered = count(stage, EntryKind.ESTABLISHED), count(stage, EntryKind.OFFERED)
         assert stood >= 0.95 * offered, f"{stood} of {offered} at {rate:.0f} a second"
         assert _memory_mb(stage.process.pid) < before + 24
 
@@ -226,7 +226,7 @@
         wrong = Full(leg.source + 1, leg.transport.destination, 9, 0, 1, Type.CONTROL, 4, made)
         stage.iax2[0]._sock.sendto(encode_full(wrong), leg.peer[0])
         settled(stage)
-        assert count(stage, EntryKind.STANDS) == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 0
 
 
 def test_noise_on_a_trunk_spoils_nothing() -> None:
@@ -276,5 +276,5 @@
         stage.iax2[0].nameless = True
         first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
-        stood = [one for one in stage.journal.entries if one.kind is EntryKind.STANDS]
+        stood = [one for one in stage.journal.entries if one.kind is EntryKind.ESTABLISHED]
         assert [one.description[:10] for one in stood] == [b"s-00000001"]
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -31,7 +31,7 @@
         for caller in (0, 1):
             first_choice(stage, caller, 1, patience_ms=7_000.0)
         settled(stage)
-        assert count(stage, EntryKind.STANDS) == 2 and count(stage, EntryKind.SET_UP, "s-00000001") == 2
+        assert count(stage, EntryKind.ESTABLISHED) == 2 and count(stage, EntryKind.SET_UP, "s-00000001") == 2
 
 
 def test_a_repeated_new_for_a_server_that_drained_is_new_work_and_does_not_leave() -> None:
@@ -43,7 +43,7 @@
         stage.drain(server)
         server.deaf_to.clear()
         settled(stage)
-        assert count(stage, EntryKind.SET_UP, server.server) == 0 and count(stage, EntryKind.STANDS) == 1
+        assert count(stage, EntryKind.SET_UP, server.server) == 0 and count(stage, EntryKind.ESTABLISHED) == 1
 
 
 def test_a_lost_acknowledgement_is_no_proof() -> None:
@@ -56,7 +56,7 @@
         server._out._faults = Faults(loses=1.0)
         first_choice(stage, 0, 1, patience_ms=8_000.0)
         settled(stage)
-        assert count(stage, EntryKind.SET_UP, server.server) == 1 and count(stage, EntryKind.STANDS) == 1
+        assert count(stage, EntryKind.SET_UP, server.server) == 1 and count(stage, EntryKind.ESTABLISHED) == 1
 
 
 def test_an_answer_after_the_caller_gave_up_stands_for_nobody() -> None:
@@ -66,7 +66,7 @@
             caller.place(stage.offer(patience_ms=880.0))
         gevent.sleep(1.5)
         settled(stage)
-        assert count(stage, EntryKind.STANDS) == 0 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 0 and stage.iax2[0].standing == 0
 
 
 @pytest.mark.parametrize("how", ["restarts", "ends", "vanishes"])
@@ -75,9 +75,9 @@
         for number in range(40):
             stage.callers[number % 2].place(stage.offer())
         until = time.time() + 3.0  # the callers' patience
-        while count(stage, EntryKind.STANDS) < 40 and time.time() < until:
+        while count(stage, EntryKind.ESTABLISHED) < 40 and time.time() < until:
             gevent.sleep(0.02)
-        assert count(stage, EntryKind.STANDS) == 40
+        assert count(stage, EntryKind.ESTABLISHED) == 40
         server = stage.iax2[0]
         server.die()
         if how == "restarts":
@@ -99,7 +99,7 @@
         for caller in stage.callers:
             caller.place(stage.offer())
         gevent.sleep(9.0)
-        assert count(stage, EntryKind.STANDS) == 2 and count(stage, EntryKind.RELEASED) == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 2 and count(stage, EntryKind.RELEASED) == 0
         assert stage.counters()["pings_out"] > 0
 
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -15,7 +15,7 @@
     fields: dict[str, object] = dict(FIELDS) if what in (EntryKind.OFFERED, EntryKind.SET_UP) else {}
     if what is EntryKind.OFFERED:
         fields["patience_ms"] = 3000.0
-    if what in (EntryKind.ANSWERED, EntryKind.STANDS):
+    if what in (EntryKind.ANSWERED, EntryKind.ESTABLISHED):
         fields["description"] = b"made"
     call = "" if what in (EntryKind.TOLD, EntryKind.DIED) else "1"
     return Entry(at_ms, what, who, call, **(fields | more))  # type: ignore[arg-type]
@@ -23,7 +23,7 @@
 
 GOOD = [
     entry(0, EntryKind.OFFERED, "caller"), entry(10, EntryKind.SET_UP), entry(20, EntryKind.ANSWERED),
-    entry(30, EntryKind.STANDS, "caller"), entry(900, EntryKind.ENDED), entry(1000, EntryKind.RELEASED, "caller"),
+    entry(30, EntryKind.ESTABLISHED, "caller"), entry(900, EntryKind.ENDED), entry(1000, EntryKind.RELEASED, "caller"),
 ]  # fmt: skip
 
 
@@ -42,7 +42,7 @@
         ("one final answer", [*GOOD, entry(1100, EntryKind.FAILED, "caller")]),
         ("no answer after a give-up", [GOOD[0], entry(5, EntryKind.GAVE_UP, "caller"), *GOOD[1:]]),
         ("answered in time", [GOOD[0], entry(3100, EntryKind.FAILED, "caller")]),
-        ("served only with what a server made", [*GOOD[:3], entry(30, EntryKind.STANDS, "x", description=b"x")]),
+        ("served only with what a server made", [*GOOD[:3], entry(30, EntryKind.ESTABLISHED, "x", description=b"x")]),
         ("one attempt out", [*GOOD[:2], entry(15, EntryKind.SET_UP, "b"), *GOOD[2:]]),
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.WITHDRAWN), entry(700, EntryKind.SET_UP, "b")]),
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.DROPPED), entry(700, EntryKind.SET_UP, "b")]),
