--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -100,7 +100,7 @@
     def _leave(self, call: str) -> None:
         held = self._calls.get(call)
         if held is not None and held.stands:
-            self._journal.add(EntryKind.LEFT, self.name, call)
+            self._journal.add(EntryKind.CALLER_RELEASED, self.name, call)
             del self._calls[call]
             self._release(call, 16)
 
@@ -205,7 +205,7 @@
 
     def _leave(self, leg: _CallerLeg) -> None:
         if leg.stands and not leg.closing and not leg.over:
-            self._journal.add(EntryKind.LEFT, self.name, leg.call)
+            self._journal.add(EntryKind.CALLER_RELEASED, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -15,7 +15,7 @@
     REFUSED = "a caller was refused"
     FAILED = "a caller was told that its set-up failed"
     GAVE_UP = "a caller gave its set-up up"
-    LEFT = "a caller released its standing call"
+    CALLER_RELEASED = "a caller released its standing call"
     RELEASED = "a caller was told that its standing call is over"
     SET_UP = "a set-up reached a server whole"
     ANSWERED = "a server wrote its answer"
@@ -68,7 +68,7 @@
     @property
     def is_quiet(self) -> bool:
         """Is every call over, and every answer that is owed given, as the callers were told?"""
-        over = {EntryKind.ESTABLISHED: 1, EntryKind.RELEASED: -1, EntryKind.LEFT: -1}
+        over = {EntryKind.ESTABLISHED: 1, EntryKind.RELEASED: -1, EntryKind.CALLER_RELEASED: -1}
         final = (EntryKind.ESTABLISHED, EntryKind.REFUSED, EntryKind.FAILED, EntryKind.GAVE_UP)
         held = sum(over.get(one.kind, 0) for one in self.entries)
         owed = sum((one.kind is EntryKind.OFFERED) - (one.kind in final) for one in self.entries)
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -158,7 +158,10 @@
         """What stood at a caller is released to it, and what stood at a server is released there."""
         stands = next((one for one in self.story if one.kind is EntryKind.ESTABLISHED), None)
         if stands is not None:
-            over = next((one for one in self.story if one.kind in (EntryKind.RELEASED, EntryKind.LEFT)), None)
+            over = next(
+                (one for one in self.story if one.kind in (EntryKind.RELEASED, EntryKind.CALLER_RELEASED)),
+                None,
+            )
             due = self._due(stands)
             if due is not None and (over is None or over.at_ms > due) and due < self.ended_ms:
                 late = "never" if over is None else f"{over.at_ms - due:.0f} ms late"
