--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -198,7 +198,7 @@
         if leg.over or leg.closing or self._legs.get(leg.peer) is not leg:
             return
         if leg.act.behaviour is Behaviour.TURN:
-            self._journal.add(EntryKind.TURNED, self.server, leg.call)
+            self._journal.add(EntryKind.DECLINED, self.server, leg.call)
             leg.reject(leg.act.cause, "", 0.0, self._now())
         else:
             self._made += 1  # no two answers are alike, so that one can be told from the other
@@ -208,7 +208,7 @@
             elements = answer_elements(made)
             if leg.act.behaviour is Behaviour.SPOIL or self.nameless:
                 elements = [] if self.nameless else elements[1:] or [(Element.DESCRIPTION, b"\x07x")]
-                self._journal.add(EntryKind.TURNED, self.server, leg.call)
+                self._journal.add(EntryKind.DECLINED, self.server, leg.call)
             else:
                 leg.stands = True
                 self._journal.add(EntryKind.ANSWERED, self.server, leg.call, description=made)
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -19,7 +19,7 @@
     RELEASED = "a caller was told that its standing call is over"
     SET_UP = "a set-up reached a server whole"
     ANSWERED = "a server wrote its answer"
-    TURNED = "a server wrote its refusal"
+    DECLINED = "a server wrote its refusal"
     WITHDRAWN = "a server was told that a set-up is given up"
     DROPPED = "a server gave an unanswered set-up up by itself"
     OVER = "a server was told that a standing call is over"
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -137,7 +137,7 @@
             elif out is not None and one.party == out.party:
                 if one.kind in (EntryKind.WITHDRAWN, EntryKind.DROPPED):
                     out, free_ms = None, one.at_ms
-                elif one.kind in (EntryKind.ANSWERED, EntryKind.TURNED):
+                elif one.kind in (EntryKind.ANSWERED, EntryKind.DECLINED):
                     out = None
         if attempts > MOST_ATTEMPTS:
             self.bad("four attempts at most", str(attempts))
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -108,7 +108,7 @@
         if act.behaviour is Behaviour.TURN:
             status, why = _STATUS.get(act.cause, (500, ""))
             del self._calls[call]
-            self._journal.add(EntryKind.TURNED, self.server, call)
+            self._journal.add(EntryKind.DECLINED, self.server, call)
             self._write(
                 held.sock, self._response(call, held, status, f"X-Why: {why}\r\n" if why else "", b"")
             )
@@ -120,7 +120,7 @@
         if not spoilt:
             self._journal.add(EntryKind.ANSWERED, self.server, call, description=made)
         else:
-            self._journal.add(EntryKind.TURNED, self.server, call)
+            self._journal.add(EntryKind.DECLINED, self.server, call)
             del self._calls[call]
         self._write(held.sock, self._response(call, held, 200, "", b"" if spoilt else made))
         if not spoilt:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -47,7 +47,7 @@
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.WITHDRAWN), entry(700, EntryKind.SET_UP, "b")]),
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.DROPPED), entry(700, EntryKind.SET_UP, "b")]),
         ("four attempts at most", [GOOD[0], *[one for n, who in enumerate("abcde") for one in
-                                   (entry(n * 9, EntryKind.SET_UP, who), entry(n * 9 + 1, EntryKind.TURNED, who))]]),
+                                   (entry(n * 9, EntryKind.SET_UP, who), entry(n * 9 + 1, EntryKind.DECLINED, who))]]),
         ("only pools of its class", [GOOD[0], entry(5, EntryKind.SET_UP, "z")]),
         ("no changed description", [GOOD[0], entry(5, EntryKind.SET_UP, description=b"sdq")]),
         ("drains honoured within 250 ms", [entry(-400, EntryKind.TOLD, kind="draining"), *GOOD]),
@@ -65,7 +65,7 @@
 
 
 def test_a_dead_server_ends_its_attempts_and_calls() -> None:
-    story = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"), entry(460, EntryKind.TURNED, "b"),
+    story = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"), entry(460, EntryKind.DECLINED, "b"),
              entry(470, EntryKind.REFUSED, "caller")]  # fmt: skip
     assert broken(story) == set()
     story = [*GOOD[:4], entry(900, EntryKind.DIED), entry(8000, EntryKind.RELEASED, "caller")]
