--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -20,7 +20,7 @@
     SET_UP = "a set-up reached a server whole"
     ANSWERED = "a server wrote its answer"
     DECLINED = "a server wrote its refusal"
-    WITHDRAWN = "a server was told that a set-up is given up"
+    CANCELLED = "a server was told that a set-up is given up"
     DROPPED = "a server gave an unanswered set-up up by itself"
     OVER = "a server was told that a standing call is over"
     ENDED = "a server released a standing call"
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -135,7 +135,7 @@
                     self.bad("300 ms after doubt", f"{one.at_ms - free_ms:.0f} ms at {one.party}")
                 out = one
             elif out is not None and one.party == out.party:
-                if one.kind in (EntryKind.WITHDRAWN, EntryKind.DROPPED):
+                if one.kind in (EntryKind.CANCELLED, EntryKind.DROPPED):
                     out, free_ms = None, one.at_ms
                 elif one.kind in (EntryKind.ANSWERED, EntryKind.DECLINED):
                     out = None
@@ -171,7 +171,7 @@
         for answer in [one for one in self.story if one.kind is EntryKind.ANSWERED]:
             ended = any(
                 one.party == answer.party and one.at_ms >= answer.at_ms
-                and one.kind in (EntryKind.OVER, EntryKind.ENDED, EntryKind.WITHDRAWN)
+                and one.kind in (EntryKind.OVER, EntryKind.ENDED, EntryKind.CANCELLED)
                 for one in self.story
             ) or any(at >= answer.at_ms for at in self.died[answer.party])  # fmt: skip
             if not ended and self.done:
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -80,7 +80,7 @@
         elif message.method == "CANCEL":
             held = self._calls.get(call)
             if held is not None and not held.stands:
-                self._journal.add(EntryKind.WITHDRAWN, self.server, call)
+                self._journal.add(EntryKind.CANCELLED, self.server, call)
                 del self._calls[call]
         elif message.method == "BYE":
             self._write(sock, sip.encode_response(message, 200, "OK"))
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -23,7 +23,7 @@
         first_choice(stage, 0, 1, patience_ms=2_000.0)
         settled(stage)
         assert count(stage, EntryKind.FAILED) == 1
-        assert count(stage, EntryKind.SET_UP) == count(stage, EntryKind.WITHDRAWN, "s-00000011") == 1
+        assert count(stage, EntryKind.SET_UP) == count(stage, EntryKind.CANCELLED, "s-00000011") == 1
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -44,7 +44,7 @@
         ("answered in time", [GOOD[0], entry(3100, EntryKind.FAILED, "caller")]),
         ("served only with what a server made", [*GOOD[:3], entry(30, EntryKind.ESTABLISHED, "x", description=b"x")]),
         ("one attempt out", [*GOOD[:2], entry(15, EntryKind.SET_UP, "b"), *GOOD[2:]]),
-        ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.WITHDRAWN), entry(700, EntryKind.SET_UP, "b")]),
+        ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.CANCELLED), entry(700, EntryKind.SET_UP, "b")]),
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.DROPPED), entry(700, EntryKind.SET_UP, "b")]),
         ("four attempts at most", [GOOD[0], *[one for n, who in enumerate("abcde") for one in
                                    (entry(n * 9, EntryKind.SET_UP, who), entry(n * 9 + 1, EntryKind.DECLINED, who))]]),
