--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -169,7 +169,9 @@
                 )
                 leg.stands = False
             case Gone(_) if leg.call:
-                self._journal.add(EntryKind.ENDED if leg.stands else EntryKind.DROPPED, self.server, leg.call)
+                self._journal.add(
+                    EntryKind.SERVER_RELEASED if leg.stands else EntryKind.DROPPED, self.server, leg.call
+                )
                 leg.stands = False
             case Heard(media):
                 self.spoken += 1
@@ -220,7 +222,7 @@
         """Release a call that stands here."""
         if leg.stands and self._legs.get(leg.peer) is leg:
             leg.stands = False
-            self._journal.add(EntryKind.ENDED, self.server, leg.call)
+            self._journal.add(EntryKind.SERVER_RELEASED, self.server, leg.call)
             leg.hang_up(16, self._now())
             self._flush(leg, [])
 
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -171,7 +171,7 @@
         for answer in [one for one in self.story if one.kind is EntryKind.ANSWERED]:
             ended = any(
                 one.party == answer.party and one.at_ms >= answer.at_ms
-                and one.kind in (EntryKind.OVER, EntryKind.ENDED, EntryKind.CANCELLED)
+                and one.kind in (EntryKind.OVER, EntryKind.SERVER_RELEASED, EntryKind.CANCELLED)
                 for one in self.story
             ) or any(at >= answer.at_ms for at in self.died[answer.party])  # fmt: skip
             if not ended and self.done:
@@ -190,7 +190,11 @@
         if answer is None:
             return None
         for one in self.story:
-            if one.kind is EntryKind.ENDED and one.party == answer.party and one.at_ms >= answer.at_ms:
+            if (
+                one.kind is EntryKind.SERVER_RELEASED
+                and one.party == answer.party
+                and one.at_ms >= answer.at_ms
+            ):
                 return one.at_ms + RELEASE_MS + SLACK_MS
         deaths = [at for at in self.died[answer.party] if at >= answer.at_ms]
         return deaths[0] + DEAD_MS + SLACK_MS if deaths else None
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -135,7 +135,7 @@
         if self._calls.get(call) is not held:
             return
         del self._calls[call]
-        self._journal.add(EntryKind.ENDED, self.server, call)
+        self._journal.add(EntryKind.SERVER_RELEASED, self.server, call)
         bye = sip.encode_request("BYE", "peer", call, 2, {"Reason": "Q.850;cause=16"})
         # On its set-up's connection; where that is gone, on any that is open.
         for sock in [one for one in (held.sock, *self._socks) if one in self._socks][:1]:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -23,7 +23,7 @@
 
 GOOD = [
     entry(0, EntryKind.OFFERED, "caller"), entry(10, EntryKind.SET_UP), entry(20, EntryKind.ANSWERED),
-    entry(30, EntryKind.ESTABLISHED, "caller"), entry(900, EntryKind.ENDED), entry(1000, EntryKind.RELEASED, "caller"),
+    entry(30, EntryKind.ESTABLISHED, "caller"), entry(900, EntryKind.SERVER_RELEASED), entry(1000, EntryKind.RELEASED, "caller"),
 ]  # fmt: skip
 
 
