--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -165,7 +165,7 @@
                 self._offered(leg, elements)
             case HungUp(_) if leg.call:
                 self._journal.add(
-                    EntryKind.OVER if leg.stands else EntryKind.CANCELLED, self.server, leg.call
+                    EntryKind.RELEASE_RECEIVED if leg.stands else EntryKind.CANCELLED, self.server, leg.call
                 )
                 leg.stands = False
             case Gone(_) if leg.call:
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -22,7 +22,7 @@
     DECLINED = "a server wrote its refusal"
     CANCELLED = "a server was told that a set-up is given up"
     DROPPED = "a server gave an unanswered set-up up by itself"
-    OVER = "a server was told that a standing call is over"
+    RELEASE_RECEIVED = "a server was told that a standing call is over"
     SERVER_RELEASED = "a server released a standing call"
     DIED = "a server's process ended, and with it all that stood there"
     TOLD = "the coordinator told of a server's state"
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -171,7 +171,7 @@
         for answer in [one for one in self.story if one.kind is EntryKind.ANSWERED]:
             ended = any(
                 one.party == answer.party and one.at_ms >= answer.at_ms
-                and one.kind in (EntryKind.OVER, EntryKind.SERVER_RELEASED, EntryKind.CANCELLED)
+                and one.kind in (EntryKind.RELEASE_RECEIVED, EntryKind.SERVER_RELEASED, EntryKind.CANCELLED)
                 for one in self.story
             ) or any(at >= answer.at_ms for at in self.died[answer.party])  # fmt: skip
             if not ended and self.done:
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -85,7 +85,7 @@
         elif message.method == "BYE":
             self._write(sock, sip.encode_response(message, 200, "OK"))
             if self._calls.pop(call, None) is not None:
-                self._journal.add(EntryKind.OVER, self.server, call)
+                self._journal.add(EntryKind.RELEASE_RECEIVED, self.server, call)
 
     def _invited(self, sock: socket.socket, call: str, request: sip.Request) -> None:
         self._journal.add(
