--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -61,7 +61,7 @@
         """A server's state is another from now on."""
         self.servers[listed.server] = listed
         self._events.append((2, listed.record()))
-        self._journal.add(EntryKind.TOLD, listed.server, label=listed.state)
+        self._journal.add(EntryKind.STATE_CHANGED, listed.server, label=listed.state)
         for sock, _ in self._peers:
             self._write(sock, len(self._events))
 
--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -25,7 +25,7 @@
     RELEASE_RECEIVED = "a server was told that a standing call is over"
     SERVER_RELEASED = "a server released a standing call"
     DIED = "a server's process ended, and with it all that stood there"
-    TOLD = "the coordinator told of a server's state"
+    STATE_CHANGED = "the coordinator told of a server's state"
 
 
 @dataclass(frozen=True, slots=True)
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -51,7 +51,7 @@
     told: dict[str, float] = {}
     died: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
-        if entry.kind is EntryKind.TOLD and entry.label != "ready":
+        if entry.kind is EntryKind.STATE_CHANGED and entry.label != "ready":
             told.setdefault(entry.party, entry.at_ms)
         elif entry.kind is EntryKind.DIED:
             died[entry.party].append(entry.at_ms)
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -54,5 +54,5 @@
         late = [
             one for one in stage.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000012"
         ]
-        told = next(one.at_ms for one in stage.journal.entries if one.kind is EntryKind.TOLD)
+        told = next(one.at_ms for one in stage.journal.entries if one.kind is EntryKind.STATE_CHANGED)
         assert late[0].at_ms < told and late[-1].at_ms < told + 300
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -17,7 +17,7 @@
         fields["patience_ms"] = 3000.0
     if what in (EntryKind.ANSWERED, EntryKind.ESTABLISHED):
         fields["description"] = b"made"
-    call = "" if what in (EntryKind.TOLD, EntryKind.DIED) else "1"
+    call = "" if what in (EntryKind.STATE_CHANGED, EntryKind.DIED) else "1"
     return Entry(at_ms, what, who, call, **(fields | more))  # type: ignore[arg-type]
 
 
@@ -50,7 +50,7 @@
                                    (entry(n * 9, EntryKind.SET_UP, who), entry(n * 9 + 1, EntryKind.DECLINED, who))]]),
         ("only pools of its class", [GOOD[0], entry(5, EntryKind.SET_UP, "z")]),
         ("no changed description", [GOOD[0], entry(5, EntryKind.SET_UP, description=b"sdq")]),
-        ("drains honoured within 250 ms", [entry(-400, EntryKind.TOLD, kind="draining"), *GOOD]),
+        ("drains honoured within 250 ms", [entry(-400, EntryKind.STATE_CHANGED, kind="draining"), *GOOD]),
         ("nothing sent for a call that is over", [GOOD[0], entry(5, EntryKind.GAVE_UP, "caller"),
                                                   entry(300, EntryKind.SET_UP)]),
         ("releases passed on", [*GOOD[:5], entry(2000, EntryKind.RELEASED, "caller")]),
