--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """A rule that was broken, and by which call."""
 
     rule: str
@@ -31,7 +31,7 @@
 class Report:
     """What was found, and an account of how calls ended, by class and by the protocols of their two sides."""
 
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[Violation] = field(default_factory=list)
     # by class, caller's protocol, server's protocol, end
     ends: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)  # by server
@@ -39,7 +39,7 @@
 
     def add(self, rule: str, call: str, detail: str) -> None:
         """Note a broken rule."""
-        self.broken.append(Broken(rule, call, detail))
+        self.broken.append(Violation(rule, call, detail))
 
 
 def check(
