--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -50,10 +50,12 @@
     console.print(table)
     attempts = ", ".join(f"{server} {count}" for server, count in sorted(report.attempts.items()))
     console.print(f"attempts: {attempts}; {report.crossed} calls went over both protocols")
-    for broken in report.broken[:20]:
+    for broken in report.violations[:20]:
         console.print(f"broken: {broken.rule}: {broken.call} {broken.detail}", style="red")
-    console.print(f"rules broken: {len(report.broken)}; all ended: {settled}; softswitch's exit code: {code}")
-    return 0 if settled and not report.broken and code == 0 else 1
+    console.print(
+        f"rules broken: {len(report.violations)}; all ended: {settled}; softswitch's exit code: {code}"
+    )
+    return 0 if settled and not report.violations and code == 0 else 1
 
 
 def main() -> None:
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -31,7 +31,7 @@
 class Report:
     """What was found, and an account of how calls ended, by class and by the protocols of their two sides."""
 
-    broken: list[Violation] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     # by class, caller's protocol, server's protocol, end
     ends: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)  # by server
@@ -39,7 +39,7 @@
 
     def add(self, rule: str, call: str, detail: str) -> None:
         """Note a broken rule."""
-        self.broken.append(Violation(rule, call, detail))
+        self.violations.append(Violation(rule, call, detail))
 
 
 def check(
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -44,7 +44,7 @@
     """No invariant of turns and no rule of the platform is broken."""
     rig.settle()
     assert broken_slots(rig.gateway.store, most_out) == []
-    assert [f"{one.rule}: {one.detail}" for one in rig.report().broken] == []
+    assert [f"{one.rule}: {one.detail}" for one in rig.report().violations] == []
 
 
 def test_a_server_is_withheld_by_every_softswitch_while_its_calls_go_on(started: Starter) -> None:
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -62,7 +62,7 @@
     """No rule of the platform is broken, and the history is one."""
     rig.settle()
     assert broken_rules(rig.gateway.store) == []
-    assert [f"{one.rule}: {one.detail}" for one in rig.report().broken] == []
+    assert [f"{one.rule}: {one.detail}" for one in rig.report().violations] == []
 
 
 def stage_of(rig: Rig) -> list[str]:
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -32,7 +32,7 @@
 def settled(stage: Stage, for_s: float = 20.0) -> None:
     assert stage.settle(for_s)
     report = stage.report()
-    assert not report.broken, report.broken[:10]
+    assert not report.violations, report.violations[:10]
 
 
 def first_choice(stage: Stage, caller: int, choice: int, patience_ms: float) -> None:
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -91,7 +91,7 @@
                 3.0 if how == "ends" else 8.05
             ), "that nobody listens is told at once"
             gevent.sleep(0.05)
-        assert not stage.report().broken
+        assert not stage.report().violations
 
 
 def test_standing_calls_at_a_server_that_lives_are_kept() -> None:
@@ -112,7 +112,7 @@
         stage.iax2[0].silent = True
         gevent.sleep(1.5)
         report = stage.report(done=False)
-        assert not report.broken, report.broken
+        assert not report.violations, report.violations
         assert count(stage, EntryKind.FAILED) + count(stage, EntryKind.REFUSED) == 2 and not count(
             stage, EntryKind.GAVE_UP
         )
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -24,7 +24,7 @@
 
 
 def well(report: Report) -> None:
-    assert not report.broken, report.broken[:10]
+    assert not report.violations, report.violations[:10]
 
 
 def test_four_pairs_a_drain_and_rough_paths_break_no_rule() -> None:
@@ -41,10 +41,10 @@
         # A HANGUP that the path loses for over 500 ms is taken as heard (docs/iax2.md), so that the pause
         # after it may be too short: seen in one run of some twenty, never twice in one.
         known = [
-            one for one in report.broken if one.rule == "300 ms after doubt" and "s-0000001" in one.detail
+            one for one in report.violations if one.rule == "300 ms after doubt" and "s-0000001" in one.detail
         ]
         assert len(known) <= 1
-        report.broken = [one for one in report.broken if one not in known]
+        report.violations = [one for one in report.violations if one not in known]
         well(report)
         assert "Traceback" not in stage.log() and "_failed" not in stage.log()
         stood = {key[1:3] for key in report.ends if key[3] == EntryKind.ESTABLISHED.name}
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -28,7 +28,7 @@
 
 
 def broken(story: list[Entry], ended_ms: float = 60_000.0) -> set[str]:
-    return {one.rule for one in check(story, ALLOWED, ended_ms).broken}
+    return {one.rule for one in check(story, ALLOWED, ended_ms).violations}
 
 
 def test_a_good_story_breaks_no_rule() -> None:
