--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -40,10 +40,10 @@
         report = stage.report(done=settled)
     finally:
         code = stage.close()
-    ends = sorted({key[3] for key in report.ends})
+    ends = sorted({key[3] for key in report.outcomes})
     table = Table("class", "caller", "last server", *(end.lower().replace("_", " ") for end in ends))
     rows: dict[tuple[str, str, str], Counter[str]] = {}
-    for (kind, caller, server, end), count in report.ends.items():
+    for (kind, caller, server, end), count in report.outcomes.items():
         rows.setdefault((kind, caller, server), Counter())[end] += count
     for key, counts in sorted(rows.items()):
         table.add_row(*key, *(str(counts[end]) for end in ends))
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -33,7 +33,7 @@
 
     violations: list[Violation] = field(default_factory=list)
     # by class, caller's protocol, server's protocol, end
-    ends: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
+    outcomes: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)  # by server
     crossed: int = 0  # calls whose attempts went over both protocols
 
@@ -111,7 +111,7 @@
         servers = [one for one in self.story if one.kind is EntryKind.SET_UP]
         end = finals[0].kind.name if finals else "GAVE_UP" if left is not None else "NONE"
         last = servers[-1].protocol if servers else "-"
-        self.report.ends[offered.label, offered.protocol, last, end] += 1
+        self.report.outcomes[offered.label, offered.protocol, last, end] += 1
         if len({one.protocol for one in servers}) > 1:
             self.report.crossed += 1
 
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -47,7 +47,7 @@
         report.violations = [one for one in report.violations if one not in known]
         well(report)
         assert "Traceback" not in stage.log() and "_failed" not in stage.log()
-        stood = {key[1:3] for key in report.ends if key[3] == EntryKind.ESTABLISHED.name}
+        stood = {key[1:3] for key in report.outcomes if key[3] == EntryKind.ESTABLISHED.name}
         assert stood == {(one, other) for one in ("binary", "iax2") for other in ("sip", "iax2")}
         # Some second attempts cross; how many rests on timing on real sockets (5 in one CI run).
         assert report.crossed > 0, "no second attempt went over the other protocol"
