--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -49,7 +49,7 @@
         table.add_row(*key, *(str(counts[end]) for end in ends))
     console.print(table)
     attempts = ", ".join(f"{server} {count}" for server, count in sorted(report.attempts.items()))
-    console.print(f"attempts: {attempts}; {report.crossed} calls went over both protocols")
+    console.print(f"attempts: {attempts}; {report.mixed_protocol_calls} calls went over both protocols")
     for broken in report.violations[:20]:
         console.print(f"broken: {broken.rule}: {broken.call} {broken.detail}", style="red")
     console.print(
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -35,7 +35,7 @@
     # by class, caller's protocol, server's protocol, end
     outcomes: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)  # by server
-    crossed: int = 0  # calls whose attempts went over both protocols
+    mixed_protocol_calls: int = 0  # calls whose attempts went over both protocols
 
     def add(self, rule: str, call: str, detail: str) -> None:
         """Note a broken rule."""
@@ -113,7 +113,7 @@
         last = servers[-1].protocol if servers else "-"
         self.report.outcomes[offered.label, offered.protocol, last, end] += 1
         if len({one.protocol for one in servers}) > 1:
-            self.report.crossed += 1
+            self.report.mixed_protocol_calls += 1
 
     def _attempts(self, offered: Entry) -> None:
         out: Entry | None = None
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -50,7 +50,7 @@
         stood = {key[1:3] for key in report.outcomes if key[3] == EntryKind.ESTABLISHED.name}
         assert stood == {(one, other) for one in ("binary", "iax2") for other in ("sip", "iax2")}
         # Some second attempts cross; how many rests on timing on real sockets (5 in one CI run).
-        assert report.crossed > 0, "no second attempt went over the other protocol"
+        assert report.mixed_protocol_calls > 0, "no second attempt went over the other protocol"
         late = [
             one for one in stage.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000012"
         ]
