--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -43,7 +43,7 @@
 
 
 def check(
-    entries: Sequence[Entry], allowed: Mapping[str, Sequence[str]], ended_ms: float, done: bool = True
+    entries: Sequence[Entry], allowed: Mapping[str, Sequence[str]], ended_ms: float, all_ended: bool = True
 ) -> Report:
     """Check all rules. `allowed`: the servers that each class may use. `done`: all calls had time to end."""
     report = Report()
@@ -58,7 +58,7 @@
         elif entry.call:
             by_call[entry.call].append(entry)
     for call, story in by_call.items():
-        _Call(report, call, story, allowed, told, died, ended_ms, done).check()
+        _Call(report, call, story, allowed, told, died, ended_ms, all_ended).check()
     return report
 
 
