--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -14,7 +14,7 @@
 DRAIN_MS = 250.0  # after the coordinator told
 RELEASE_MS = 1_000.0  # from a server's release to its caller
 DEAD_MS = 8_000.0  # from a server's death to the callers of what stood there
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 _FINAL = (EntryKind.ESTABLISHED, EntryKind.REFUSED, EntryKind.FAILED)
 
 
@@ -139,7 +139,7 @@
                     out, free_ms = None, one.at_ms
                 elif one.kind in (EntryKind.ANSWERED, EntryKind.DECLINED):
                     out = None
-        if attempts > MOST_ATTEMPTS:
+        if attempts > MAX_ATTEMPTS:
             self.bad("four attempts at most", str(attempts))
 
     def _attempt(self, offered: Entry, one: Entry) -> None:
