--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -199,7 +199,7 @@
     def _act(self, leg: _ServerLeg) -> None:
         if leg.over or leg.closing or self._legs.get(leg.peer) is not leg:
             return
-        if leg.act.behaviour is Behaviour.TURN:
+        if leg.act.behaviour is Behaviour.REFUSE:
             self._journal.add(EntryKind.DECLINED, self.server, leg.call)
             leg.reject(leg.act.cause, "", 0.0, self._now())
         else:
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -14,7 +14,7 @@
     """What a session server does with a set-up."""
 
     ANSWER = "answer"
-    TURN = "refuse with a cause"
+    REFUSE = "refuse with a cause"
     MUTE = "acknowledge and say nothing more"
     DEAF = "take no notice at all"
     SPOIL = "answer with something that can't be used"
@@ -48,7 +48,7 @@
         after, holds = random.uniform(*self.after_ms), random.expovariate(1.0 / self.holds_ms)
         luck, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
-            (self.turns, Behaviour.TURN),
+            (self.turns, Behaviour.REFUSE),
             (self.mutes, Behaviour.MUTE),
             (self.deaf, Behaviour.DEAF),
             (self.spoils, Behaviour.SPOIL),
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -105,7 +105,7 @@
     def _act(self, call: str, held: _Held, act: Act) -> None:
         if self._calls.get(call) is not held:
             return
-        if act.behaviour is Behaviour.TURN:
+        if act.behaviour is Behaviour.REFUSE:
             status, why = _STATUS.get(act.cause, (500, ""))
             del self._calls[call]
             self._journal.add(EntryKind.DECLINED, self.server, call)
