--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -193,7 +193,7 @@
             description if isinstance(description, bytes) else b"",
             elements.text(Element.CALLED_NUMBER) or "",
         )
-        if leg.act.behaviour is not Behaviour.MUTE:
+        if leg.act.behaviour is not Behaviour.NO_ANSWER:
             gevent.spawn_later(leg.act.after_ms / 1000.0, self._act, leg)
 
     def _act(self, leg: _ServerLeg) -> None:
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -15,7 +15,7 @@
 
     ANSWER = "answer"
     REFUSE = "refuse with a cause"
-    MUTE = "acknowledge and say nothing more"
+    NO_ANSWER = "acknowledge and say nothing more"
     DEAF = "take no notice at all"
     SPOIL = "answer with something that can't be used"
 
@@ -49,7 +49,7 @@
         luck, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
             (self.turns, Behaviour.REFUSE),
-            (self.mutes, Behaviour.MUTE),
+            (self.mutes, Behaviour.NO_ANSWER),
             (self.deaf, Behaviour.DEAF),
             (self.spoils, Behaviour.SPOIL),
         ):
