--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -136,7 +136,7 @@
             self._send(answer_without_leg(frame, Iax.CALLTOKEN, asked), source)
             return
         act = self.manner.draw(self._random)
-        if act.behaviour is Behaviour.DEAF:
+        if act.behaviour is Behaviour.IGNORE:
             return
         self._next = self._next % 32_000 + 1
         leg = _ServerLeg(self._next, frame, elements, self._secret, f"{self._next:08x}", self._now())
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -16,7 +16,7 @@
     ANSWER = "answer"
     REFUSE = "refuse with a cause"
     NO_ANSWER = "acknowledge and say nothing more"
-    DEAF = "take no notice at all"
+    IGNORE = "take no notice at all"
     SPOIL = "answer with something that can't be used"
 
 
@@ -50,7 +50,7 @@
         for share, behaviour in (
             (self.turns, Behaviour.REFUSE),
             (self.mutes, Behaviour.NO_ANSWER),
-            (self.deaf, Behaviour.DEAF),
+            (self.deaf, Behaviour.IGNORE),
             (self.spoils, Behaviour.SPOIL),
         ):
             if luck < share:
