--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -208,7 +208,7 @@
                 self.manner.description_bytes, b"."
             )
             elements = answer_elements(made)
-            if leg.act.behaviour is Behaviour.SPOIL or self.nameless:
+            if leg.act.behaviour is Behaviour.MALFORMED or self.nameless:
                 elements = [] if self.nameless else elements[1:] or [(Element.DESCRIPTION, b"\x07x")]
                 self._journal.add(EntryKind.DECLINED, self.server, leg.call)
             else:
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -17,7 +17,7 @@
     REFUSE = "refuse with a cause"
     NO_ANSWER = "acknowledge and say nothing more"
     IGNORE = "take no notice at all"
-    SPOIL = "answer with something that can't be used"
+    MALFORMED = "answer with something that can't be used"
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
             (self.turns, Behaviour.REFUSE),
             (self.mutes, Behaviour.NO_ANSWER),
             (self.deaf, Behaviour.IGNORE),
-            (self.spoils, Behaviour.SPOIL),
+            (self.spoils, Behaviour.MALFORMED),
         ):
             if luck < share:
                 return Act(behaviour, after, holds, cause)
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -116,7 +116,7 @@
         self._made += 1  # no two answers are alike, so that one can be told from the other
         made = f"{self.server} {call} {self._made} ".encode().ljust(self.manner.description_bytes, b".")
         held.stands = True
-        spoilt = act.behaviour is Behaviour.SPOIL
+        spoilt = act.behaviour is Behaviour.MALFORMED
         if not spoilt:
             self._journal.add(EntryKind.ANSWERED, self.server, call, description=made)
         else:
