--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -14,7 +14,7 @@
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
 from pearloom.fakes.journal import EntryKind, Journal
-from pearloom.fakes.script import Act, Behaviour, Faults, Manner, Path
+from pearloom.fakes.script import Behaviour, Faults, Handling, Manner, Path
 from pearloom.iax2 import tokens
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import (
@@ -43,7 +43,7 @@
     key: tuple[bytes, int]  # token and time of its NEW
     call = ""
     stands = False
-    act = Act()
+    act = Handling()
 
 
 class Iax2Server:
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class Handling:
     """One set-up's fate."""
 
     behaviour: Behaviour = Behaviour.ANSWER
@@ -43,7 +43,7 @@
     spoils: float = 0.0
     description_bytes: int = 60
 
-    def draw(self, random: Random) -> Act:
+    def draw(self, random: Random) -> Handling:
         """The fate of the next set-up."""
         after, holds = random.uniform(*self.after_ms), random.expovariate(1.0 / self.holds_ms)
         luck, cause = random.random(), random.choice(self.causes)
@@ -54,9 +54,9 @@
             (self.spoils, Behaviour.MALFORMED),
         ):
             if luck < share:
-                return Act(behaviour, after, holds, cause)
+                return Handling(behaviour, after, holds, cause)
             luck -= share
-        return Act(Behaviour.ANSWER, after, holds, cause)
+        return Handling(Behaviour.ANSWER, after, holds, cause)
 
 
 @dataclass(frozen=True, slots=True)
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -12,7 +12,7 @@
 from pearloom.core.config import Address
 from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.reading import Decoder, messages
-from pearloom.fakes.script import Act, Behaviour, Manner
+from pearloom.fakes.script import Behaviour, Handling, Manner
 from pearloom.sip import codec as sip
 
 PROTOCOL = "sip"
@@ -102,7 +102,7 @@
         if act.behaviour not in (Behaviour.NO_ANSWER, Behaviour.IGNORE):
             gevent.spawn_later(act.after_ms / 1000.0, self._act, call, held, act)
 
-    def _act(self, call: str, held: _Held, act: Act) -> None:
+    def _act(self, call: str, held: _Held, act: Handling) -> None:
         if self._calls.get(call) is not held:
             return
         if act.behaviour is Behaviour.REFUSE:
