--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -15,16 +15,16 @@
 import gevent
 
 from pearloom.fakes.journal import EntryKind
-from pearloom.fakes.script import Manner
+from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.stage import Stage
 
 PAIRS = (("binary", "sip"), ("binary", "iax2"), ("iax2", "sip"), ("iax2", "iax2"))
-STEADY = Manner(after_ms=(5.0, 20.0), holds_ms=500.0)
-LONG = Manner(after_ms=(5.0, 20.0), holds_ms=3_600_000.0)
+STEADY = ServerProfile(after_ms=(5.0, 20.0), holds_ms=500.0)
+LONG = ServerProfile(after_ms=(5.0, 20.0), holds_ms=3_600_000.0)
 TICK = os.sysconf("SC_CLK_TCK")
 
 
-def _stage(pair: tuple[str, str], manner: Manner, seed: int) -> Stage:
+def _stage(pair: tuple[str, str], manner: ServerProfile, seed: int) -> Stage:
     servers = (manner, manner)
     stage = Stage(seed, sip=servers if pair[1] == "sip" else (), iax2=servers if pair[1] == "iax2" else ())
     stage.start()
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -33,7 +33,7 @@
 from pearloom.fakes.iax2_server import Iax2Server
 from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.rules import Report, check
-from pearloom.fakes.script import Manner
+from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.sip_server import SipServer
 from pearloom.fakes.stage import CLASSES, SETTINGS, START_S, draw_offer, free_port
 
@@ -89,7 +89,7 @@
     turns: Mapping[str, object] = field(default_factory=dict)
     rules: Mapping[str, object] = field(default_factory=dict)
     lease_s: int = 2
-    manner: Manner = field(default_factory=lambda: Manner(holds_ms=400.0))
+    manner: ServerProfile = field(default_factory=lambda: ServerProfile(holds_ms=400.0))
     journal: Journal = field(default_factory=Journal)
 
     random: Random = field(init=False)
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -14,7 +14,7 @@
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
 from pearloom.fakes.journal import EntryKind, Journal
-from pearloom.fakes.script import Behaviour, Faults, Handling, Manner, Path
+from pearloom.fakes.script import Behaviour, Faults, Handling, Path, ServerProfile
 from pearloom.iax2 import tokens
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import (
@@ -53,7 +53,7 @@
         self,
         journal: Journal,
         server: str,
-        manner: Manner,
+        manner: ServerProfile,
         seed: int,
         faults: Faults | None = None,
         secret: str = "",
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
+class ServerProfile:
     """How a fake server behaves; shares are of all set-ups."""
 
     after_ms: tuple[float, float] = (5.0, 40.0)
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -12,7 +12,7 @@
 from pearloom.core.config import Address
 from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.reading import Decoder, messages
-from pearloom.fakes.script import Behaviour, Handling, Manner
+from pearloom.fakes.script import Behaviour, Handling, ServerProfile
 from pearloom.sip import codec as sip
 
 PROTOCOL = "sip"
@@ -33,7 +33,7 @@
 class SipServer:
     """Listens, answers by its manner, ends what stood, and can die."""
 
-    def __init__(self, journal: Journal, server: str, manner: Manner, seed: int) -> None:
+    def __init__(self, journal: Journal, server: str, manner: ServerProfile, seed: int) -> None:
         """Listen on loopback."""
         self._journal, self.server, self.manner = journal, server, manner
         self._made = 0
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -24,7 +24,7 @@
 from pearloom.fakes.iax2_server import Iax2Server
 from pearloom.fakes.journal import Journal
 from pearloom.fakes.rules import Report, check
-from pearloom.fakes.script import Faults, Manner
+from pearloom.fakes.script import Faults, ServerProfile
 from pearloom.fakes.sip_server import SipServer
 
 CLASSES = ("open-form", "save-answers")
@@ -78,8 +78,8 @@
     def __init__(
         self,
         seed: int,
-        sip: Sequence[Manner] = (Manner(), Manner()),
-        iax2: Sequence[Manner] = (Manner(), Manner()),
+        sip: Sequence[ServerProfile] = (ServerProfile(), ServerProfile()),
+        iax2: Sequence[ServerProfile] = (ServerProfile(), ServerProfile()),
         faults: Faults | None = None,
         secret: str = "",
         limits: Mapping[str, float] | None = None,
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -12,7 +12,7 @@
 from pearloom.fakes.coordinator import Listed
 from pearloom.fakes.fleet import Act, Rig, Step, broken_slots, play
 from pearloom.fakes.journal import EntryKind
-from pearloom.fakes.script import Manner
+from pearloom.fakes.script import ServerProfile
 
 QUICK = {"settle_ms": 300, "take_up_ms": 1_500, "drain_ms": 1_500, "floor": 0.3, "out_zone": 1, "out": 1}
 Starter = Callable[..., Rig]
@@ -23,7 +23,7 @@
     rigs: list[Rig] = []
 
     def start(seed: int, softswitches: int = 3, holds_ms: float = 400.0, **turns: object) -> Rig:
-        rig = Rig(seed, softswitches, turns={**QUICK, **turns}, manner=Manner(holds_ms=holds_ms))
+        rig = Rig(seed, softswitches, turns={**QUICK, **turns}, manner=ServerProfile(holds_ms=holds_ms))
         rigs.append(rig)
         rig.start()
         rig.until(lambda: all(f"member={name} condition=live" in rig.nodes["n1"].log() for name in rig.nodes))
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -6,11 +6,11 @@
 from contextlib import contextmanager
 
 from pearloom.fakes.journal import EntryKind
-from pearloom.fakes.script import Manner
+from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.stage import Stage
 
-SHORT = Manner(holds_ms=400.0)
-LONG = Manner(holds_ms=60_000.0)
+SHORT = ServerProfile(holds_ms=400.0)
+LONG = ServerProfile(holds_ms=60_000.0)
 
 
 @contextmanager
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -15,7 +15,7 @@
 
 from pearloom.fakes.callers import Iax2Caller
 from pearloom.fakes.journal import EntryKind
-from pearloom.fakes.script import Manner
+from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.stage import Stage
 from pearloom.iax2.frames import (
     Element,
@@ -59,7 +59,7 @@
 
 
 def test_a_plain_caller_is_served_and_a_late_copy_of_its_new_is_no_second_set_up() -> None:
-    slow = Manner(after_ms=(300.0, 300.0), holds_ms=60_000.0)
+    slow = ServerProfile(after_ms=(300.0, 300.0), holds_ms=60_000.0)
     with played(Stage(19, sip=(), iax2=(slow,))) as stage:
         plain = Plain(stage)
         new = plain.new(plain.token())
@@ -80,7 +80,7 @@
 
 
 def test_the_time_that_a_token_took_is_taken_off_the_patience() -> None:
-    with played(Stage(20, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
+    with played(Stage(20, sip=(), iax2=(ServerProfile(mutes=1.0),))) as stage:
         plain = Plain(stage)
         began = time.time()
         token = plain.token()
@@ -110,7 +110,7 @@
 
 def test_call_numbers_that_run_out_are_not_used_again_and_their_calls_go_elsewhere() -> None:
     """A trunk with four numbers: each rests after its leg, and what has no number never ran."""
-    with played(Stage(16, sip=(SHORT,), iax2=(Manner(holds_ms=100.0),), numbers=4)) as stage:
+    with played(Stage(16, sip=(SHORT,), iax2=(ServerProfile(holds_ms=100.0),), numbers=4)) as stage:
         for number in range(20):
             first_choice(stage, number % 2, 1, patience_ms=4_000.0)
             gevent.sleep(0.05)
@@ -215,7 +215,7 @@
 
 def test_an_answer_under_another_leg_s_number_is_not_taken() -> None:
     """A peer that knows one leg's number can't speak for it: the socket hears its server alone."""
-    with played(Stage(13, sip=(), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
+    with played(Stage(13, sip=(), iax2=(ServerProfile(mutes=1.0),)), iax2=0) as stage:
         stage.callers[0].place(stage.offer(patience_ms=1_500.0))
         gevent.sleep(0.3)
         (leg,) = stage.iax2[0]._legs.values()
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from pearloom.fakes.journal import EntryKind
-from pearloom.fakes.script import Faults, Manner
+from pearloom.fakes.script import Faults, ServerProfile
 from pearloom.fakes.stage import Stage
 from pearloom.iax2.frames import (
     Iax,
@@ -19,7 +19,7 @@
 
 def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_hears_its_end() -> None:
     """The module leaves an attempt the time that the caller has, as with a mute server over SIP."""
-    with played(Stage(3, sip=(SHORT,), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
+    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(mutes=1.0),)), iax2=0) as stage:
         first_choice(stage, 0, 1, patience_ms=2_000.0)
         settled(stage)
         assert count(stage, EntryKind.FAILED) == 1
@@ -27,7 +27,7 @@
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
-    with played(Stage(3, sip=(SHORT,), iax2=(Manner(deaf=1.0),))) as stage:
+    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(deaf=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 1, patience_ms=7_000.0)
         settled(stage)
@@ -49,7 +49,7 @@
 def test_a_lost_acknowledgement_is_no_proof() -> None:
     """All that the server says is lost: its set-up runs, and the call waits out the pause before the next."""
     with played(
-        Stage(5, sip=(SHORT,), iax2=(Manner(holds_ms=400.0, after_ms=(5_000.0, 5_000.0)),)), iax2=0
+        Stage(5, sip=(SHORT,), iax2=(ServerProfile(holds_ms=400.0, after_ms=(5_000.0, 5_000.0)),)), iax2=0
     ) as stage:
         server = stage.iax2[0]
         server._asks_token = False
@@ -60,7 +60,7 @@
 
 
 def test_an_answer_after_the_caller_gave_up_stands_for_nobody() -> None:
-    late = Manner(after_ms=(900.0, 900.0), holds_ms=60_000.0)
+    late = ServerProfile(after_ms=(900.0, 900.0), holds_ms=60_000.0)
     with played(Stage(6, sip=(), iax2=(late,))) as stage:
         for caller in stage.callers:
             caller.place(stage.offer(patience_ms=880.0))
@@ -104,7 +104,7 @@
 
 
 def test_a_server_that_vanishes_with_a_set_up_out_delays_no_final_answer() -> None:
-    with played(Stage(17, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
+    with played(Stage(17, sip=(), iax2=(ServerProfile(mutes=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
@@ -120,7 +120,7 @@
 
 def test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work() -> None:
     """HANGUPs reach the server only 450 ms late: the next attempt waits for the proof, then for the pause."""
-    quick = Manner(after_ms=(5.0, 10.0), holds_ms=300.0, mutes=0.15)
+    quick = ServerProfile(after_ms=(5.0, 10.0), holds_ms=300.0, mutes=0.15)
     with played(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
         server, first = stage.iax2[0], dict[object, float]()
         whole = server._datagram
