--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -194,7 +194,7 @@
             elements.text(Element.CALLED_NUMBER) or "",
         )
         if leg.act.behaviour is not Behaviour.NO_ANSWER:
-            gevent.spawn_later(leg.act.after_ms / 1000.0, self._act, leg)
+            gevent.spawn_later(leg.act.delay_ms / 1000.0, self._act, leg)
 
     def _act(self, leg: _ServerLeg) -> None:
         if leg.over or leg.closing or self._legs.get(leg.peer) is not leg:
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -25,7 +25,7 @@
     """One set-up's fate."""
 
     behaviour: Behaviour = Behaviour.ANSWER
-    after_ms: float = 20.0
+    delay_ms: float = 20.0
     holds_ms: float = 2_000.0
     cause: int = 42  # Q.850, for TURN
 
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -100,7 +100,7 @@
         held = self._calls[call] = _Held(request, sock, request.headers.get("cseq", ""))
         act = self.manner.draw(self._random)
         if act.behaviour not in (Behaviour.NO_ANSWER, Behaviour.IGNORE):
-            gevent.spawn_later(act.after_ms / 1000.0, self._act, call, held, act)
+            gevent.spawn_later(act.delay_ms / 1000.0, self._act, call, held, act)
 
     def _act(self, call: str, held: _Held, act: Handling) -> None:
         if self._calls.get(call) is not held:
