--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -214,7 +214,7 @@
             else:
                 leg.stands = True
                 self._journal.add(EntryKind.ANSWERED, self.server, leg.call, description=made)
-                gevent.spawn_later(leg.act.holds_ms / 1000.0, self.end, leg)
+                gevent.spawn_later(leg.act.hold_ms / 1000.0, self.end, leg)
             leg.answer(ULAW, elements, self._now())
         self._flush(leg, [])
 
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -26,7 +26,7 @@
 
     behaviour: Behaviour = Behaviour.ANSWER
     delay_ms: float = 20.0
-    holds_ms: float = 2_000.0
+    hold_ms: float = 2_000.0
     cause: int = 42  # Q.850, for TURN
 
 
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -124,7 +124,7 @@
             del self._calls[call]
         self._write(held.sock, self._response(call, held, 200, "", b"" if spoilt else made))
         if not spoilt:
-            gevent.spawn_later(act.holds_ms / 1000.0, self._end, call, held)
+            gevent.spawn_later(act.hold_ms / 1000.0, self._end, call, held)
 
     @staticmethod
     def _response(call: str, held: _Held, status: int, more: str, body: bytes) -> bytes:
