--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -59,7 +59,7 @@
 
 
 def test_a_plain_caller_is_served_and_a_late_copy_of_its_new_is_no_second_set_up() -> None:
-    slow = ServerProfile(after_ms=(300.0, 300.0), holds_ms=60_000.0)
+    slow = ServerProfile(delay_ms=(300.0, 300.0), holds_ms=60_000.0)
     with played(Stage(19, sip=(), iax2=(slow,))) as stage:
         plain = Plain(stage)
         new = plain.new(plain.token())
