--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -19,8 +19,8 @@
 from pearloom.fakes.stage import Stage
 
 PAIRS = (("binary", "sip"), ("binary", "iax2"), ("iax2", "sip"), ("iax2", "iax2"))
-STEADY = ServerProfile(delay_ms=(5.0, 20.0), holds_ms=500.0)
-LONG = ServerProfile(delay_ms=(5.0, 20.0), holds_ms=3_600_000.0)
+STEADY = ServerProfile(delay_ms=(5.0, 20.0), mean_hold_ms=500.0)
+LONG = ServerProfile(delay_ms=(5.0, 20.0), mean_hold_ms=3_600_000.0)
 TICK = os.sysconf("SC_CLK_TCK")
 
 
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -89,7 +89,7 @@
     turns: Mapping[str, object] = field(default_factory=dict)
     rules: Mapping[str, object] = field(default_factory=dict)
     lease_s: int = 2
-    manner: ServerProfile = field(default_factory=lambda: ServerProfile(holds_ms=400.0))
+    manner: ServerProfile = field(default_factory=lambda: ServerProfile(mean_hold_ms=400.0))
     journal: Journal = field(default_factory=Journal)
 
     random: Random = field(init=False)
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -35,7 +35,7 @@
     """How a fake server behaves; shares are of all set-ups."""
 
     delay_ms: tuple[float, float] = (5.0, 40.0)
-    holds_ms: float = 2_000.0  # on average, exponential
+    mean_hold_ms: float = 2_000.0  # on average, exponential
     turns: float = 0.0
     causes: tuple[int, ...] = (42,)
     mutes: float = 0.0
@@ -45,7 +45,7 @@
 
     def draw(self, random: Random) -> Handling:
         """The fate of the next set-up."""
-        after, holds = random.uniform(*self.delay_ms), random.expovariate(1.0 / self.holds_ms)
+        after, holds = random.uniform(*self.delay_ms), random.expovariate(1.0 / self.mean_hold_ms)
         luck, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
             (self.turns, Behaviour.REFUSE),
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -23,7 +23,7 @@
     rigs: list[Rig] = []
 
     def start(seed: int, softswitches: int = 3, holds_ms: float = 400.0, **turns: object) -> Rig:
-        rig = Rig(seed, softswitches, turns={**QUICK, **turns}, manner=ServerProfile(holds_ms=holds_ms))
+        rig = Rig(seed, softswitches, turns={**QUICK, **turns}, manner=ServerProfile(mean_hold_ms=holds_ms))
         rigs.append(rig)
         rig.start()
         rig.until(lambda: all(f"member={name} condition=live" in rig.nodes["n1"].log() for name in rig.nodes))
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -9,8 +9,8 @@
 from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.stage import Stage
 
-SHORT = ServerProfile(holds_ms=400.0)
-LONG = ServerProfile(holds_ms=60_000.0)
+SHORT = ServerProfile(mean_hold_ms=400.0)
+LONG = ServerProfile(mean_hold_ms=60_000.0)
 
 
 @contextmanager
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -59,7 +59,7 @@
 
 
 def test_a_plain_caller_is_served_and_a_late_copy_of_its_new_is_no_second_set_up() -> None:
-    slow = ServerProfile(delay_ms=(300.0, 300.0), holds_ms=60_000.0)
+    slow = ServerProfile(delay_ms=(300.0, 300.0), mean_hold_ms=60_000.0)
     with played(Stage(19, sip=(), iax2=(slow,))) as stage:
         plain = Plain(stage)
         new = plain.new(plain.token())
@@ -110,7 +110,7 @@
 
 def test_call_numbers_that_run_out_are_not_used_again_and_their_calls_go_elsewhere() -> None:
     """A trunk with four numbers: each rests after its leg, and what has no number never ran."""
-    with played(Stage(16, sip=(SHORT,), iax2=(ServerProfile(holds_ms=100.0),), numbers=4)) as stage:
+    with played(Stage(16, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=100.0),), numbers=4)) as stage:
         for number in range(20):
             first_choice(stage, number % 2, 1, patience_ms=4_000.0)
             gevent.sleep(0.05)
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -49,7 +49,7 @@
 def test_a_lost_acknowledgement_is_no_proof() -> None:
     """All that the server says is lost: its set-up runs, and the call waits out the pause before the next."""
     with played(
-        Stage(5, sip=(SHORT,), iax2=(ServerProfile(holds_ms=400.0, delay_ms=(5_000.0, 5_000.0)),)), iax2=0
+        Stage(5, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=400.0, delay_ms=(5_000.0, 5_000.0)),)), iax2=0
     ) as stage:
         server = stage.iax2[0]
         server._asks_token = False
@@ -60,7 +60,7 @@
 
 
 def test_an_answer_after_the_caller_gave_up_stands_for_nobody() -> None:
-    late = ServerProfile(delay_ms=(900.0, 900.0), holds_ms=60_000.0)
+    late = ServerProfile(delay_ms=(900.0, 900.0), mean_hold_ms=60_000.0)
     with played(Stage(6, sip=(), iax2=(late,))) as stage:
         for caller in stage.callers:
             caller.place(stage.offer(patience_ms=880.0))
@@ -120,7 +120,7 @@
 
 def test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work() -> None:
     """HANGUPs reach the server only 450 ms late: the next attempt waits for the proof, then for the pause."""
-    quick = ServerProfile(delay_ms=(5.0, 10.0), holds_ms=300.0, mutes=0.15)
+    quick = ServerProfile(delay_ms=(5.0, 10.0), mean_hold_ms=300.0, mutes=0.15)
     with played(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
         server, first = stage.iax2[0], dict[object, float]()
         whole = server._datagram
