--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -36,7 +36,7 @@
 
     delay_ms: tuple[float, float] = (5.0, 40.0)
     mean_hold_ms: float = 2_000.0  # on average, exponential
-    turns: float = 0.0
+    refused_share: float = 0.0
     causes: tuple[int, ...] = (42,)
     mutes: float = 0.0
     deaf: float = 0.0
@@ -48,7 +48,7 @@
         after, holds = random.uniform(*self.delay_ms), random.expovariate(1.0 / self.mean_hold_ms)
         luck, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
-            (self.turns, Behaviour.REFUSE),
+            (self.refused_share, Behaviour.REFUSE),
             (self.mutes, Behaviour.NO_ANSWER),
             (self.deaf, Behaviour.IGNORE),
             (self.spoils, Behaviour.MALFORMED),
