--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -38,7 +38,7 @@
     mean_hold_ms: float = 2_000.0  # on average, exponential
     refused_share: float = 0.0
     causes: tuple[int, ...] = (42,)
-    mutes: float = 0.0
+    unanswered_share: float = 0.0
     deaf: float = 0.0
     spoils: float = 0.0
     description_bytes: int = 60
@@ -49,7 +49,7 @@
         luck, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
             (self.refused_share, Behaviour.REFUSE),
-            (self.mutes, Behaviour.NO_ANSWER),
+            (self.unanswered_share, Behaviour.NO_ANSWER),
             (self.deaf, Behaviour.IGNORE),
             (self.spoils, Behaviour.MALFORMED),
         ):
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -80,7 +80,7 @@
 
 
 def test_the_time_that_a_token_took_is_taken_off_the_patience() -> None:
-    with played(Stage(20, sip=(), iax2=(ServerProfile(mutes=1.0),))) as stage:
+    with played(Stage(20, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
         plain = Plain(stage)
         began = time.time()
         token = plain.token()
@@ -215,7 +215,7 @@
 
 def test_an_answer_under_another_leg_s_number_is_not_taken() -> None:
     """A peer that knows one leg's number can't speak for it: the socket hears its server alone."""
-    with played(Stage(13, sip=(), iax2=(ServerProfile(mutes=1.0),)), iax2=0) as stage:
+    with played(Stage(13, sip=(), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
         stage.callers[0].place(stage.offer(patience_ms=1_500.0))
         gevent.sleep(0.3)
         (leg,) = stage.iax2[0]._legs.values()
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -19,7 +19,7 @@
 
 def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_hears_its_end() -> None:
     """The module leaves an attempt the time that the caller has, as with a mute server over SIP."""
-    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(mutes=1.0),)), iax2=0) as stage:
+    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
         first_choice(stage, 0, 1, patience_ms=2_000.0)
         settled(stage)
         assert count(stage, EntryKind.FAILED) == 1
@@ -104,7 +104,7 @@
 
 
 def test_a_server_that_vanishes_with_a_set_up_out_delays_no_final_answer() -> None:
-    with played(Stage(17, sip=(), iax2=(ServerProfile(mutes=1.0),))) as stage:
+    with played(Stage(17, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
@@ -120,7 +120,7 @@
 
 def test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work() -> None:
     """HANGUPs reach the server only 450 ms late: the next attempt waits for the proof, then for the pause."""
-    quick = ServerProfile(delay_ms=(5.0, 10.0), mean_hold_ms=300.0, mutes=0.15)
+    quick = ServerProfile(delay_ms=(5.0, 10.0), mean_hold_ms=300.0, unanswered_share=0.15)
     with played(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
         server, first = stage.iax2[0], dict[object, float]()
         whole = server._datagram
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -28,7 +28,9 @@
 
 
 def test_four_pairs_a_drain_and_rough_paths_break_no_rule() -> None:
-    troubled = ServerProfile(mean_hold_ms=700.0, refused_share=0.05, causes=(42, 34, 17, 38, 41), mutes=0.02)
+    troubled = ServerProfile(
+        mean_hold_ms=700.0, refused_share=0.05, causes=(42, 34, 17, 38, 41), unanswered_share=0.02
+    )
     with played(
         Stage(7, sip=(troubled, SHORT), iax2=(troubled, SHORT), faults=ROUGH, secret="kept between")
     ) as stage:
