--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -39,7 +39,7 @@
     refused_share: float = 0.0
     causes: tuple[int, ...] = (42,)
     unanswered_share: float = 0.0
-    deaf: float = 0.0
+    ignored_share: float = 0.0
     spoils: float = 0.0
     description_bytes: int = 60
 
@@ -50,7 +50,7 @@
         for share, behaviour in (
             (self.refused_share, Behaviour.REFUSE),
             (self.unanswered_share, Behaviour.NO_ANSWER),
-            (self.deaf, Behaviour.IGNORE),
+            (self.ignored_share, Behaviour.IGNORE),
             (self.spoils, Behaviour.MALFORMED),
         ):
             if luck < share:
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -27,7 +27,7 @@
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
-    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(deaf=1.0),))) as stage:
+    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(ignored_share=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 1, patience_ms=7_000.0)
         settled(stage)
