--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -40,7 +40,7 @@
     causes: tuple[int, ...] = (42,)
     unanswered_share: float = 0.0
     ignored_share: float = 0.0
-    spoils: float = 0.0
+    malformed_share: float = 0.0
     description_bytes: int = 60
 
     def draw(self, random: Random) -> Handling:
@@ -51,7 +51,7 @@
             (self.refused_share, Behaviour.REFUSE),
             (self.unanswered_share, Behaviour.NO_ANSWER),
             (self.ignored_share, Behaviour.IGNORE),
-            (self.spoils, Behaviour.MALFORMED),
+            (self.malformed_share, Behaviour.MALFORMED),
         ):
             if luck < share:
                 return Handling(behaviour, after, holds, cause)
