--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -63,7 +63,7 @@
 class Faults:
     """What a path does to datagrams; shares of them."""
 
-    loses: float = 0.0
+    loss_share: float = 0.0
     doubles: float = 0.0
     delays: float = 0.0  # by up to `by_ms`, and so past others
     by_ms: float = 60.0
@@ -79,7 +79,7 @@
     def carry(self, data: bytes, deliver: Callable[[bytes], None]) -> None:
         """Deliver a datagram once, twice, later, or not at all."""
         faults, random = self._faults, self._random
-        if random.random() < faults.loses:
+        if random.random() < faults.loss_share:
             return
         for _ in range(2 if random.random() < faults.doubles else 1):
             if random.random() < faults.delays:
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -53,7 +53,7 @@
     ) as stage:
         server = stage.iax2[0]
         server._asks_token = False
-        server._out._faults = Faults(loses=1.0)
+        server._out._faults = Faults(loss_share=1.0)
         first_choice(stage, 0, 1, patience_ms=8_000.0)
         settled(stage)
         assert count(stage, EntryKind.SET_UP, server.server) == 1 and count(stage, EntryKind.ESTABLISHED) == 1
