--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -64,7 +64,7 @@
     """What a path does to datagrams; shares of them."""
 
     loss_share: float = 0.0
-    doubles: float = 0.0
+    duplicate_share: float = 0.0
     delays: float = 0.0  # by up to `by_ms`, and so past others
     by_ms: float = 60.0
 
@@ -81,7 +81,7 @@
         faults, random = self._faults, self._random
         if random.random() < faults.loss_share:
             return
-        for _ in range(2 if random.random() < faults.doubles else 1):
+        for _ in range(2 if random.random() < faults.duplicate_share else 1):
             if random.random() < faults.delays:
                 gevent.spawn_later(random.uniform(0.0, faults.by_ms) / 1000.0, deliver, data)
             else:
