--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -65,7 +65,7 @@
 
     loss_share: float = 0.0
     duplicate_share: float = 0.0
-    delays: float = 0.0  # by up to `by_ms`, and so past others
+    delay_share: float = 0.0  # by up to `by_ms`, and so past others
     by_ms: float = 60.0
 
 
@@ -82,7 +82,7 @@
         if random.random() < faults.loss_share:
             return
         for _ in range(2 if random.random() < faults.duplicate_share else 1):
-            if random.random() < faults.delays:
+            if random.random() < faults.delay_share:
                 gevent.spawn_later(random.uniform(0.0, faults.by_ms) / 1000.0, deliver, data)
             else:
                 deliver(data)
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -10,7 +10,7 @@
 from pearloom.fakes.script import Faults, ServerProfile
 from pearloom.fakes.stage import Stage
 
-ROUGH = Faults(loss_share=0.05, duplicate_share=0.05, delays=0.05)
+ROUGH = Faults(loss_share=0.05, duplicate_share=0.05, delay_share=0.05)
 SHORT = ServerProfile(mean_hold_ms=700.0)
 
 
