--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -66,7 +66,7 @@
     loss_share: float = 0.0
     duplicate_share: float = 0.0
     delay_share: float = 0.0  # by up to `by_ms`, and so past others
-    by_ms: float = 60.0
+    max_delay_ms: float = 60.0
 
 
 class Path:
@@ -83,6 +83,6 @@
             return
         for _ in range(2 if random.random() < faults.duplicate_share else 1):
             if random.random() < faults.delay_share:
-                gevent.spawn_later(random.uniform(0.0, faults.by_ms) / 1000.0, deliver, data)
+                gevent.spawn_later(random.uniform(0.0, faults.max_delay_ms) / 1000.0, deliver, data)
             else:
                 deliver(data)
