--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -18,7 +18,7 @@
 from pearloom.fakes.journal import EntryKind, Journal
 from pearloom.fakes.reading import messages
 from pearloom.fakes.rules import SLACK_MS
-from pearloom.fakes.script import Faults, Path
+from pearloom.fakes.script import Faults, LossyPath
 from pearloom.iax2.events import Answered, Event, Failed, Gone, Heard, HungUp, Over, Rejected
 from pearloom.iax2.frames import Elements, Full, Iax, decode
 from pearloom.iax2.legs import answer_without_leg
@@ -163,7 +163,7 @@
     ) -> None:
         """Open a socket at `host`."""
         self._journal, self.name, self._address, self._secret = journal, name, address, secret
-        self._in, self._out = Path(faults or Faults(), seed + 1), Path(faults or Faults(), seed + 2)
+        self._in, self._out = LossyPath(faults or Faults(), seed + 1), LossyPath(faults or Faults(), seed + 2)
         self._numbers = CallNumbers(1 + seed * 7919 % 30_000)
         self._legs: dict[int, _CallerLeg] = {}
         self._by_call: dict[str, _CallerLeg] = {}
--- a/pearloom/fakes/fleet/datagrams.py
+++ b/pearloom/fakes/fleet/datagrams.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from pearloom.core.config import Address
-from pearloom.fakes.script import Faults, Path
+from pearloom.fakes.script import Faults, LossyPath
 
 LARGEST = 65_535
 
@@ -31,7 +31,7 @@
 
     def disturb(self, faults: Faults) -> None:
         """From now on this befalls datagrams on both ways; a run is its seed."""
-        self._there, self._back = Path(faults, self._seed), Path(faults, self._seed + 1)
+        self._there, self._back = LossyPath(faults, self._seed), LossyPath(faults, self._seed + 1)
 
     def cut(self, there: bool = True, back: bool = True) -> None:
         """From now on nothing passes on these ways."""
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -14,7 +14,7 @@
 from pearloom.core.config import Address
 from pearloom.core.errors import Malformed
 from pearloom.fakes.journal import EntryKind, Journal
-from pearloom.fakes.script import Behaviour, Faults, Handling, Path, ServerProfile
+from pearloom.fakes.script import Behaviour, Faults, Handling, LossyPath, ServerProfile
 from pearloom.iax2 import tokens
 from pearloom.iax2.events import Event, Gone, Heard, HungUp, Offered, Over
 from pearloom.iax2.frames import (
@@ -63,7 +63,7 @@
         self._journal, self.server, self.manner = journal, server, manner
         self._made = 0
         self._random, self._secret, self._asks_token = Random(seed), secret, asks_token
-        self._in, self._out = Path(faults or Faults(), seed + 1), Path(faults or Faults(), seed + 2)
+        self._in, self._out = LossyPath(faults or Faults(), seed + 1), LossyPath(faults or Faults(), seed + 2)
         self._key = secrets.token_bytes(16)
         self._legs: dict[_Peer, _ServerLeg] = {}
         self._spent: dict[tuple[bytes, int], float] = {}
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -69,7 +69,7 @@
     max_delay_ms: float = 60.0
 
 
-class Path:
+class LossyPath:
     """A lossy way, one draw for each datagram."""
 
     def __init__(self, faults: Faults, seed: int) -> None:
