--- a/pearloom/fakes/fleet/__init__.py
+++ b/pearloom/fakes/fleet/__init__.py
@@ -3,6 +3,6 @@
 from pearloom.fakes.fleet.history import broken_rules, broken_slots
 from pearloom.fakes.fleet.proxy import Proxy, Toxics
 from pearloom.fakes.fleet.rig import Node, Rig
-from pearloom.fakes.fleet.script import Act, Step, play
+from pearloom.fakes.fleet.script import Fault, Step, play
 
-__all__ = ["Act", "Node", "Proxy", "Rig", "Step", "Toxics", "broken_rules", "broken_slots", "play"]
+__all__ = ["Fault", "Node", "Proxy", "Rig", "Step", "Toxics", "broken_rules", "broken_slots", "play"]
--- a/pearloom/fakes/fleet/script.py
+++ b/pearloom/fakes/fleet/script.py
@@ -13,7 +13,7 @@
 from pearloom.fakes.fleet.rig import Rig
 
 
-class Act(Enum):
+class Fault(Enum):
     """What a step does to a softswitch, or to its way to the store."""
 
     KILL = "kill"
@@ -34,7 +34,7 @@
     """One step, so long after the script began."""
 
     at_ms: float
-    act: Act
+    act: Fault
     name: str = ""
 
 
@@ -47,27 +47,27 @@
 
 
 def _do(rig: Rig, step: Step) -> None:
-    if step.act in (Act.STORE_PAUSE, Act.STORE_GO):
-        rig.gateway.faults.paused = step.act is Act.STORE_PAUSE
+    if step.act in (Fault.STORE_PAUSE, Fault.STORE_GO):
+        rig.gateway.faults.paused = step.act is Fault.STORE_PAUSE
         return
     node = rig.nodes[step.name]
     match step.act:
-        case Act.KILL:
+        case Fault.KILL:
             rig.kill(step.name)
-        case Act.STOP:
+        case Fault.STOP:
             rig.excuse(step.name)
             node.send(signal.SIGSTOP)
-        case Act.WAKE:
+        case Fault.WAKE:
             node.send(signal.SIGCONT)
-        case Act.START:
+        case Fault.START:
             rig.start(step.name)
-        case Act.CUT:
+        case Fault.CUT:
             node.store.cut()
-        case Act.CUT_THERE:
+        case Fault.CUT_THERE:
             node.store.cut(back=False)
-        case Act.CUT_BACK:
+        case Fault.CUT_BACK:
             node.store.cut(there=False)
-        case Act.RESET:
+        case Fault.RESET:
             node.store.reset()
-        case Act.HEAL:
+        case Fault.HEAL:
             node.store.heal()
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pearloom.fakes.coordinator import Listed
-from pearloom.fakes.fleet import Act, Rig, Step, broken_slots, play
+from pearloom.fakes.fleet import Fault, Rig, Step, broken_slots, play
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
 
@@ -95,12 +95,12 @@
     (first,) = rig.work("n1", "n2")
     rig.until(lambda: rig.phase(first) == "draining")
     second, *_ = rig.work("n3", "n3")
-    play(rig, [Step(0.0, Act.STOP, "n2")])
+    play(rig, [Step(0.0, Fault.STOP, "n2")])
     rig.until(lambda: rig.phase(first) == "out")
     assert "died on its turn" in rig.ask("n1", "GET", "/v1/work")[1]
     gevent.sleep(3.0)  # longer than its lease: the others know it as away
     assert rig.phase(second) == "waiting", "it still counts as out"
-    play(rig, [Step(0.0, Act.WAKE, "n2")])
+    play(rig, [Step(0.0, Fault.WAKE, "n2")])
     rig.until(lambda: not rig.drained(rig.nodes["n2"]), 8.0, rig.nodes["n2"].log)
     rig.until(lambda: rig.phase(second) in ("draining", "out"), 10.0, rig.nodes["n1"].log)
     judged(rig)
@@ -117,7 +117,7 @@
 
 def test_the_side_without_the_store_starts_nothing_and_converges_after_healing(started: Starter) -> None:
     rig = started(15, softswitches=4, out=2, out_zone=2)
-    play(rig, [Step(0.0, Act.CUT, "n3"), Step(0.0, Act.CUT, "n4")])
+    play(rig, [Step(0.0, Fault.CUT, "n3"), Step(0.0, Fault.CUT, "n4")])
     calling = gevent.spawn(rig.play, 40.0, 5.0)
     gevent.sleep(4.0)
     assert (
@@ -129,7 +129,7 @@
     assert rig.phase(turn) == "waiting"
     assert 'why="as many machines are out as may be"' in rig.ask("n1", "GET", "/v1/work")[1]
     calling.join()
-    play(rig, [Step(0.0, Act.HEAL, "n3"), Step(0.0, Act.HEAL, "n4")])
+    play(rig, [Step(0.0, Fault.HEAL, "n3"), Step(0.0, Fault.HEAL, "n4")])
     took = rig.until(lambda: rig.phase(turn) == "out", 8.0, rig.nodes["n1"].log)
     assert took < 8.0
     rig.until(lambda: "s-00000001" in rig.ask("n3", "GET", "/v1/work")[1])
@@ -138,10 +138,10 @@
 
 def test_a_one_way_cut_is_a_cut(started: Starter) -> None:
     rig = started(16)
-    play(rig, [Step(0.0, Act.CUT_BACK, "n3")])
+    play(rig, [Step(0.0, Fault.CUT_BACK, "n3")])
     rig.until(lambda: "member=n3 condition=away" in rig.nodes["n1"].log(), 8.0)
     assert rig.ask("n3", "DELETE", "/v1/work/00000000")[0] == 503
-    play(rig, [Step(0.0, Act.HEAL, "n3")])
+    play(rig, [Step(0.0, Fault.HEAL, "n3")])
     rig.until(lambda: "member=n3 condition=live" in rig.ask("n1", "GET", "/v1/members")[1], 12.0)
 
 
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 
-from pearloom.fakes.fleet import Act, Rig, Step, broken_rules, play
+from pearloom.fakes.fleet import Fault, Rig, Step, broken_rules, play
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Faults, ServerProfile
 
@@ -154,7 +154,7 @@
     rig.propose("n1", GOOD, 0, at_once=True)
     rig.until(lambda: done(rig, "n1", 1))
     version = rig.head()["version"]
-    play(rig, [Step(0.0, Act.STOP, "n3"), Step(0.0, Act.CUT, "n4"), Step(0.0, Act.KILL, "n5")])
+    play(rig, [Step(0.0, Fault.STOP, "n3"), Step(0.0, Fault.CUT, "n4"), Step(0.0, Fault.KILL, "n5")])
     assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
     rig.start("n5")
     assert "event=rules_ready version=none" in rig.nodes["n5"].log(), "right before its first call"
@@ -162,7 +162,7 @@
         named = f"member={name} condition=away away=2"
         rig.until(lambda named=named: named in shown(rig, "n1"), 8.0, lambda: shown(rig, "n1"))  # type: ignore[misc]
     assert rig.versions()["n4"] == version, "cut off: what it has goes on"
-    play(rig, [Step(0.0, Act.WAKE, "n3"), Step(0.0, Act.HEAL, "n4")])
+    play(rig, [Step(0.0, Fault.WAKE, "n3"), Step(0.0, Fault.HEAL, "n4")])
     rig.until(lambda: done(rig, "n1", 2) and "away=2" not in shown(rig, "n1"), 8.0, lambda: shown(rig, "n1"))
     assert set(rig.versions().values()) == {"none"}
     calling.join()
@@ -202,12 +202,12 @@
     away = stage_of(rig)[0]
     others = [name for name in rig.nodes if name != away]
     rig.until(lambda: rig.versions()[away] != "none")
-    play(rig, [Step(0.0, Act.CUT, away)])
+    play(rig, [Step(0.0, Fault.CUT, away)])
     rig.until(lambda: f"{away} has told nothing" in rig.halted(), 10.0, lambda: shown(rig, others[0]))
     assert rig.ask(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0] == 503
     assert rig.ask(others[0], "POST", "/v1/rules/undo")[0] == 200
     assert rig.versions()[away] != "none", "cut off: calls go on with the rules that it has"
-    play(rig, [Step(0.0, Act.HEAL, away)])
+    play(rig, [Step(0.0, Fault.HEAL, away)])
     rig.until(lambda: set(rig.versions().values()) == {"none"}, 8.0, rig.nodes[away].log)
     calling.join()
     judged(rig)
@@ -219,10 +219,10 @@
     gevent.sleep(7.0)  # its own figures of before are what it has to compare with
     rig.propose("n1", BAD, 0, stages=[0])
     (inside,) = stage_of(rig)
-    play(rig, [Step(0.0, Act.CUT, inside)])
+    play(rig, [Step(0.0, Fault.CUT, inside)])
     rig.until(lambda: "event=rules_left" in rig.nodes[inside].log(), 18.0, rig.nodes[inside].log)
     assert rig.versions()[inside] == "none"
-    play(rig, [Step(0.0, Act.HEAL, inside)])
+    play(rig, [Step(0.0, Fault.HEAL, inside)])
     rig.until(lambda: f"{inside} went back by itself" in rig.halted(), 8.0, lambda: shown(rig, "n1"))
     calling.kill()
     judged(rig)
@@ -278,7 +278,7 @@
     rig = started(39, away_ms=2_000, silent_ms=60_000, soak_ms=30_000)
     rig.propose("n1", GOOD, 0)
     rig.until(lambda: len(_last_told(rig)) >= 4)
-    play(rig, [Step(0.0, Act.STORE_PAUSE), Step(3_500.0, Act.STORE_GO)])
+    play(rig, [Step(0.0, Fault.STORE_PAUSE), Step(3_500.0, Fault.STORE_GO)])
     rig.until(lambda: "nobody could write to the store" in rig.halted(), 10.0, rig.nodes["n1"].log)
 
 
@@ -307,14 +307,14 @@
     rig.until(lambda: done(rig, "n1", 1))
     version, path = rig.head()["version"], rig.nodes["n2"].folder / "rules"
     rig.until(path.exists)
-    play(rig, [Step(0.0, Act.CUT, "n2"), Step(0.0, Act.KILL, "n2"), Step(0.0, Act.START, "n2")])
+    play(rig, [Step(0.0, Fault.CUT, "n2"), Step(0.0, Fault.KILL, "n2"), Step(0.0, Fault.START, "n2")])
     assert f"event=rules_ready version={version} head=1 store=False" in rig.nodes["n2"].log()
     assert "event=rules_from_snapshot head=1 age_s=" in rig.nodes["n2"].log()
     path.write_bytes(path.read_bytes()[:-9])
-    play(rig, [Step(0.0, Act.KILL, "n2"), Step(0.0, Act.START, "n2")])
+    play(rig, [Step(0.0, Fault.KILL, "n2"), Step(0.0, Fault.START, "n2")])
     assert "event=rules_snapshot_unusable" in rig.nodes["n2"].log()
     assert rig.versions()["n2"] == "none", "a torn snapshot is not guessed at"
-    play(rig, [Step(0.0, Act.HEAL, "n2")])
+    play(rig, [Step(0.0, Fault.HEAL, "n2")])
     rig.until(lambda: rig.versions()["n2"] == version, 8.0)
 
 
