--- a/pearloom/fakes/fleet/datagrams.py
+++ b/pearloom/fakes/fleet/datagrams.py
@@ -15,7 +15,7 @@
 LARGEST = 65_535
 
 
-class Datagrams:
+class DatagramProxy:
     """Listens on a port of its own for one target; each source has a socket of its own towards it."""
 
     def __init__(self, target: Address, seed: int) -> None:
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -28,7 +28,7 @@
 from pearloom.fakes.callers import BinaryCaller
 from pearloom.fakes.coordinator import FakeCoordinator, Listed
 from pearloom.fakes.etcd import Gateway
-from pearloom.fakes.fleet.datagrams import Datagrams
+from pearloom.fakes.fleet.datagrams import DatagramProxy
 from pearloom.fakes.fleet.proxy import Proxy
 from pearloom.fakes.iax2_server import Iax2Server
 from pearloom.fakes.journal import EntryKind, Journal
@@ -97,7 +97,7 @@
     coordinator: FakeCoordinator = field(init=False)
     session_servers: list[SipServer] = field(init=False)
     iax2: list[Iax2Server] = field(init=False)
-    ways: list[Datagrams] = field(init=False)
+    ways: list[DatagramProxy] = field(init=False)
     nodes: dict[str, Node] = field(init=False)
     _folder: tempfile.TemporaryDirectory[str] = field(init=False)
     _threads: ThreadPool = field(init=False)
@@ -119,7 +119,7 @@
             Iax2Server(self.journal, f"s-0000001{1 + at}", self.manner, self.seed + 50 + at)
             for at in range(self.iax2_servers)
         ]
-        self.ways = [Datagrams(one.address, self.seed + at) for at, one in enumerate(self.iax2)]
+        self.ways = [DatagramProxy(one.address, self.seed + at) for at, one in enumerate(self.iax2)]
         places = [(one.server, one.address) for one in self.session_servers]
         places += [(one.server, way.address) for one, way in zip(self.iax2, self.ways, strict=True)]
         listed = [Listed(server, address, cell) for cell, (server, address) in enumerate(places)]
