--- a/pearloom/fakes/fleet/proxy.py
+++ b/pearloom/fakes/fleet/proxy.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Toxics:
+class LinkFaults:
     """What goes wrong on one way, until it is set back."""
 
     cut: bool = False
@@ -42,8 +42,8 @@
 
     target: Callable[[], Address]
     random: Random
-    there: Toxics = field(default_factory=Toxics)
-    back: Toxics = field(default_factory=Toxics)
+    there: LinkFaults = field(default_factory=LinkFaults)
+    back: LinkFaults = field(default_factory=LinkFaults)
     address: Address = ("127.0.0.1", 0)
     _listener: socket.socket | None = None
     _pairs: list[tuple[socket.socket, socket.socket]] = field(default_factory=list)
@@ -80,7 +80,7 @@
         far.close()
         self._pairs.remove((near, far))
 
-    def _carry(self, source: socket.socket, sink: socket.socket, toxics: Toxics) -> None:
+    def _carry(self, source: socket.socket, sink: socket.socket, toxics: LinkFaults) -> None:
         with contextlib.suppress(OSError):
             while data := source.recv(PIECE):
                 while data:
