--- a/pearloom/fakes/fleet/proxy.py
+++ b/pearloom/fakes/fleet/proxy.py
@@ -29,11 +29,11 @@
     cut: bool = False
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    bytes_a_look: int = 0  # trickle: so many bytes in 10 ms at most; 0: all at once
+    bytes_per_tick: int = 0  # trickle: so many bytes in 10 ms at most; 0: all at once
 
     def heal(self) -> None:
         """Nothing goes wrong any more."""
-        self.cut, self.delay_ms, self.jitter_ms, self.bytes_a_look = False, 0.0, 0.0, 0
+        self.cut, self.delay_ms, self.jitter_ms, self.bytes_per_tick = False, 0.0, 0.0, 0
 
 
 @dataclass(slots=True)
@@ -88,7 +88,7 @@
                         gevent.sleep(LOOK_S)
                     pause = toxics.delay_ms + self.random.uniform(0.0, toxics.jitter_ms)
                     gevent.sleep(pause / 1000.0)
-                    size = toxics.bytes_a_look or len(data)
+                    size = toxics.bytes_per_tick or len(data)
                     sink.sendall(data[:size])
                     data = data[size:]
                     if data:
