--- a/benchmarks/undo.py
+++ b/benchmarks/undo.py
@@ -47,7 +47,7 @@
     """Print median and worst, with all running and with one stopped."""
     processes = int(sys.argv[1]) if len(sys.argv) > 1 else 16
     times = int(sys.argv[2]) if len(sys.argv) > 2 else 50
-    rig = Rig(61, processes, turns={"floor": 0.3})
+    rig = Rig(61, processes, maintenance={"floor": 0.3})
     table = Table("softswitches", "state", "undos", "median ms", "worst ms", "writes to the store an undo")
     try:
         rig.start()
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -86,7 +86,7 @@
     softswitches: int = 3
     servers: int = 3  # that speak SIP
     iax2_servers: int = 0  # each behind a proxy of its own for datagrams, in `ways`
-    turns: Mapping[str, object] = field(default_factory=dict)
+    maintenance: Mapping[str, object] = field(default_factory=dict)
     rules: Mapping[str, object] = field(default_factory=dict)
     lease_s: int = 2
     manner: ServerProfile = field(default_factory=lambda: ServerProfile(mean_hold_ms=400.0))
@@ -169,7 +169,7 @@
         records = {
             "store": {"at": ["{}:{}".format(*node.store.address)], "lease_s": self.lease_s, "timeout_ms": 400,
                       "fresh_ms": 1_500},
-            "turns": {"zone": node.zone, "beat_ms": 400, **self.turns},
+            "turns": {"zone": node.zone, "beat_ms": 400, **self.maintenance},
             **({"iax2": {"servers": ["s-0000001?"]}} if self.iax2 else {}),
             "rules": {"snapshot": str(node.folder / "rules"), "wait_ms": 500, **self.rules},
         }  # fmt: skip
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -23,11 +23,13 @@
     rigs: list[Rig] = []
 
     def start(seed: int, softswitches: int = 3, holds_ms: float = 400.0, **turns: object) -> Rig:
-        rig = Rig(seed, softswitches, turns={**QUICK, **turns}, manner=ServerProfile(mean_hold_ms=holds_ms))
+        rig = Rig(
+            seed, softswitches, maintenance={**QUICK, **turns}, manner=ServerProfile(mean_hold_ms=holds_ms)
+        )
         rigs.append(rig)
         rig.start()
         rig.until(lambda: all(f"member={name} condition=live" in rig.nodes["n1"].log() for name in rig.nodes))
-        limits = f"limits.out={rig.turns['out']}\n"
+        limits = f"limits.out={rig.maintenance['out']}\n"
         rig.until(lambda: all(limits in rig.ask(name, "GET", "/v1/work")[1] for name in rig.nodes), 15.0)
         return rig
 
@@ -280,7 +282,7 @@
 
 @pytest.fixture(scope="module")
 def one() -> Iterator[Rig]:
-    rig = Rig(21, 1, turns=QUICK)
+    rig = Rig(21, 1, maintenance=QUICK)
     rig.start()
     rig.until(lambda: rig.ask("n1", "GET", "/v1/work")[0] == 200)
     yield rig
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -33,7 +33,11 @@
 
     def start(seed: int, softswitches: int = 4, iax2_servers: int = 0, **rules: object) -> Rig:
         rig = Rig(
-            seed, softswitches, iax2_servers=iax2_servers, turns={"floor": 0.3}, rules={**QUICK, **rules}
+            seed,
+            softswitches,
+            iax2_servers=iax2_servers,
+            maintenance={"floor": 0.3},
+            rules={**QUICK, **rules},
         )
         rigs.append(rig)
         rig.start()
