--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -97,7 +97,7 @@
     coordinator: FakeCoordinator = field(init=False)
     session_servers: list[SipServer] = field(init=False)
     iax2: list[Iax2Server] = field(init=False)
-    ways: list[DatagramProxy] = field(init=False)
+    datagram_proxies: list[DatagramProxy] = field(init=False)
     nodes: dict[str, Node] = field(init=False)
     _folder: tempfile.TemporaryDirectory[str] = field(init=False)
     _threads: ThreadPool = field(init=False)
@@ -119,9 +119,13 @@
             Iax2Server(self.journal, f"s-0000001{1 + at}", self.manner, self.seed + 50 + at)
             for at in range(self.iax2_servers)
         ]
-        self.ways = [DatagramProxy(one.address, self.seed + at) for at, one in enumerate(self.iax2)]
+        self.datagram_proxies = [
+            DatagramProxy(one.address, self.seed + at) for at, one in enumerate(self.iax2)
+        ]
         places = [(one.server, one.address) for one in self.session_servers]
-        places += [(one.server, way.address) for one, way in zip(self.iax2, self.ways, strict=True)]
+        places += [
+            (one.server, way.address) for one, way in zip(self.iax2, self.datagram_proxies, strict=True)
+        ]
         listed = [Listed(server, address, cell) for cell, (server, address) in enumerate(places)]
         self.coordinator = FakeCoordinator(self.journal, listed)
         self.nodes = {}
@@ -338,7 +342,7 @@
                     one.close()
         for server in self.all_servers:
             server.close()
-        for way in self.ways:
+        for way in self.datagram_proxies:
             way.close()
         self.coordinator.close()
         self.gateway.close()
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -237,7 +237,7 @@
 ) -> None:
     """A fifth of all datagrams to the IAX2 server is lost, some come twice or late; then nothing passes."""
     rig = started(45, softswitches=2, iax2_servers=1)
-    server, way = rig.iax2[0], rig.ways[0]
+    server, way = rig.iax2[0], rig.datagram_proxies[0]
     way.disturb(Faults(loss_share=0.2, duplicate_share=0.1, delay_share=0.2))
     calling = gevent.spawn(rig.play, 40.0, 8.0)
     rig.propose("n1", [{"name": "iax2", "effect": {"type": "only", "cells": [3]}}], 0, at_once=True)
