--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -237,7 +237,7 @@
         found: tuple[int, str] = self._threads.apply(call)
         return found
 
-    def work(self, at: str, *machines: str, urgent: bool = False) -> list[str]:
+    def request_maintenance(self, at: str, *machines: str, urgent: bool = False) -> list[str]:
         """Ask for turns; returns their ids."""
         named = [
             {"kind": "server" if machine.startswith("s-") else "softswitch", "name": machine}
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -53,7 +53,7 @@
     rig = started(11)
     calling = gevent.spawn(rig.play, 40.0, 6.0)
     gevent.sleep(1.0)
-    (turn,) = rig.work("n2", "s-00000001")
+    (turn,) = rig.request_maintenance("n2", "s-00000001")
     rig.until(lambda: rig.phase(turn) == "out")
     gevent.sleep(0.3)
     before = [
@@ -77,7 +77,7 @@
 def test_rolling_work_over_the_fleet_takes_one_machine_at_a_time(started: Starter) -> None:
     rig = started(12)
     calling = gevent.spawn(rig.play, 40.0, 12.0)
-    turns = rig.work("n1", "n1", "n2", "n3")
+    turns = rig.request_maintenance("n1", "n1", "n2", "n3")
     for _ in turns:
         rig.until(lambda: any(rig.phase(turn) == "out" for turn in turns), 8.0, rig.nodes["n1"].log)
         out = next(turn for turn in turns if rig.phase(turn) == "out")
@@ -94,9 +94,9 @@
     rig = started(13, holds_ms=600_000.0, drain_ms=60_000)
     rig.place("n2", holds_ms=9_000.0)  # a call that stands there: the drain does not end by itself
     rig.until(lambda: any(one.kind is EntryKind.ESTABLISHED for one in rig.journal.entries))
-    (first,) = rig.work("n1", "n2")
+    (first,) = rig.request_maintenance("n1", "n2")
     rig.until(lambda: rig.phase(first) == "draining")
-    second, *_ = rig.work("n3", "n3")
+    second, *_ = rig.request_maintenance("n3", "n3")
     play(rig, [Step(0.0, Fault.STOP, "n2")])
     rig.until(lambda: rig.phase(first) == "out")
     assert "died on its turn" in rig.ask("n1", "GET", "/v1/work")[1]
@@ -111,7 +111,7 @@
 def test_a_lost_reply_of_the_winning_transaction_grants_once(started: Starter) -> None:
     rig = started(14)
     rig.gateway.faults.lose_replies = 6
-    (turn,) = rig.work("n1", "s-00000002")
+    (turn,) = rig.request_maintenance("n1", "s-00000002")
     rig.until(lambda: rig.phase(turn) == "out")
     assert any("event=store_reply_lost" in node.log() for node in rig.nodes.values())
     judged(rig)
@@ -125,7 +125,7 @@
     assert (
         rig.ask("n3", "POST", "/v1/work", {"machines": [{"kind": "server", "name": "s-00000001"}]})[0] == 503
     )
-    (turn,) = rig.work("n1", "s-00000001")
+    (turn,) = rig.request_maintenance("n1", "s-00000001")
     # n3 and n4 are away and take all the room that the limits give: nothing begins on this side either.
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting"
@@ -149,7 +149,7 @@
 
 def test_a_stalled_store_delays_no_call_and_ends_no_withholding(started: Starter) -> None:
     rig = started(17)
-    (turn,) = rig.work("n1", "s-00000003")
+    (turn,) = rig.request_maintenance("n1", "s-00000003")
     rig.until(lambda: rig.phase(turn) == "out")
     rig.play(40.0, 2.0)
     rig.gateway.faults.paused = True
@@ -175,14 +175,14 @@
 def test_a_store_that_lost_its_last_writes_is_named_and_nothing_is_done_twice(started: Starter) -> None:
     rig = started(18)
     rig.gateway.store.save()
-    (lost,) = rig.work("n1", "s-00000001")
+    (lost,) = rig.request_maintenance("n1", "s-00000001")
     rig.until(lambda: rig.phase(lost) == "out")
     rig.gateway.restart(without_last_writes=True)
     for node in rig.nodes.values():
         rig.until(lambda node=node: "event=store_diverged" in node.log(), 10.0)  # type: ignore[misc]
     assert rig.phase(lost) == ""
     rig.until(lambda: rig.ask("n2", "GET", "/v1/work")[1].startswith("fresh=true"))
-    (again,) = rig.work("n2", "s-00000001")
+    (again,) = rig.request_maintenance("n2", "s-00000001")
     rig.until(lambda: rig.phase(again) == "out")
     judged(rig)
 
@@ -197,7 +197,7 @@
     rig.until(
         lambda: all(f"member={name} condition=away" in rig.ask(at, "GET", "/v1/members")[1] for name in lost)
     )
-    (turn,) = rig.work(at, "s-00000001")
+    (turn,) = rig.request_maintenance(at, "s-00000001")
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting"
     assert 'why="a zone is in trouble"' in rig.ask(at, "GET", "/v1/work")[1]
@@ -225,7 +225,7 @@
     assert rig.ask("n1", "DELETE", "/v1/members/n3") == (409, "n3 is live, not away\n")
     rig.nodes["n3"].send(signal.SIGTERM)
     rig.until(lambda: "member=n3 condition=away" in rig.ask("n1", "GET", "/v1/members")[1])
-    (turn,) = rig.work("n1", "s-00000001")
+    (turn,) = rig.request_maintenance("n1", "s-00000001")
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting", "a machine that is out for whatever reason takes the room"
     assert rig.ask("n2", "DELETE", "/v1/members/n9")[0] == 404
@@ -237,7 +237,7 @@
 def test_work_during_a_burst_in_which_a_server_dies_keeps_the_floor_and_every_rule(started: Starter) -> None:
     rig = started(22, out=3, out_zone=3, floor=0.5)
     calling = gevent.spawn(rig.play, 60.0, 7.0)
-    first, second = rig.work("n1", "s-00000001", "s-00000002")
+    first, second = rig.request_maintenance("n1", "s-00000001", "s-00000002")
     rig.until(lambda: rig.phase(first) == "out")
     gevent.sleep(1.0)
     assert rig.phase(second) == "waiting"
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -272,7 +272,7 @@
     rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
     assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
     rig.until(lambda: done(rig, "n3", rig.head()["number"]), 3.0)
-    (turn,) = rig.work("n2", "s-00000001")
+    (turn,) = rig.request_maintenance("n2", "s-00000001")
     rig.until(lambda: rig.phase(turn) == "draining", 8.0, lambda: rig.ask("n1", "GET", "/v1/work")[1])
     calling.join()
     judged(rig)
