--- a/benchmarks/store_load.py
+++ b/benchmarks/store_load.py
@@ -46,7 +46,10 @@
     rig = Rig(71, members)
     try:
         rig.start()
-        rig.until(lambda: rig.ask("n1", "GET", "/v1/members")[1].count("condition=live") == members, 30.0)
+        rig.until(
+            lambda: rig.management_call("n1", "GET", "/v1/members")[1].count("condition=live") == members,
+            30.0,
+        )
         gevent.sleep(2.0)
         before = rig.gateway.store.revision
         gevent.sleep(for_s)
--- a/benchmarks/undo.py
+++ b/benchmarks/undo.py
@@ -36,7 +36,7 @@
     """One undo; returns ms."""
     number = int(rig.head()["number"]) + 1
     began = time.monotonic()
-    asking = gevent.spawn(rig.ask, at, "POST", "/v1/rules/undo")
+    asking = gevent.spawn(rig.management_call, at, "POST", "/v1/rules/undo")
     took = confirmed(rig, number, names) - began
     status, text = asking.get()
     assert status == 200, text
@@ -52,7 +52,10 @@
     try:
         rig.start()
         names = set(rig.nodes)
-        rig.until(lambda: rig.ask("n1", "GET", "/v1/members")[1].count("condition=live") == processes, 30.0)
+        rig.until(
+            lambda: rig.management_call("n1", "GET", "/v1/members")[1].count("condition=live") == processes,
+            30.0,
+        )
         rig.propose("n1", RULES, 0, at_once=True)
         confirmed(rig, 1, names)
         calling = gevent.spawn(rig.play, 100.0, 600.0)
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -220,7 +220,7 @@
         return time.monotonic() - began
 
     # --- operators ------------------------------------------------------------------------------------------
-    def ask(self, name: str, method: str, path: str, body: object = None) -> tuple[int, str]:
+    def management_call(self, name: str, method: str, path: str, body: object = None) -> tuple[int, str]:
         """An operator's call at this softswitch: status and text."""
         host, port = self.nodes[name].management
         data = body if isinstance(body, bytes) else json.dumps(body).encode() if body is not None else None
@@ -243,7 +243,7 @@
             {"kind": "server" if machine.startswith("s-") else "softswitch", "name": machine}
             for machine in machines
         ]
-        status, text = self.ask(
+        status, text = self.management_call(
             at, "POST", "/v1/work", {"machines": named, "urgent": urgent, "reason": "kernel"}
         )
         assert status == 200, text
@@ -251,7 +251,7 @@
 
     def propose(self, at: str, rules: object, expected: int, **more: object) -> int:
         """Propose rules at this softswitch; returns the head's number after it."""
-        status, text = self.ask(
+        status, text = self.management_call(
             at, "POST", "/v1/rules", {"expected": expected, "rules": rules, "reason": "a try", **more}
         )
         assert status == 200, text
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -30,7 +30,9 @@
         rig.start()
         rig.until(lambda: all(f"member={name} condition=live" in rig.nodes["n1"].log() for name in rig.nodes))
         limits = f"limits.out={rig.maintenance['out']}\n"
-        rig.until(lambda: all(limits in rig.ask(name, "GET", "/v1/work")[1] for name in rig.nodes), 15.0)
+        rig.until(
+            lambda: all(limits in rig.management_call(name, "GET", "/v1/work")[1] for name in rig.nodes), 15.0
+        )
         return rig
 
     yield start
@@ -64,7 +66,7 @@
         one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000001"
     ]
     assert before == after and before, "no new set-up while it is out"
-    assert rig.ask("n1", "POST", f"/v1/work/{turn}") == (200, "ok\n")
+    assert rig.management_call("n1", "POST", f"/v1/work/{turn}") == (200, "ok\n")
     rig.until(lambda: rig.phase(turn) == "done")
     calling.join()
     last = [
@@ -99,7 +101,7 @@
     second, *_ = rig.request_maintenance("n3", "n3")
     play(rig, [Step(0.0, Fault.STOP, "n2")])
     rig.until(lambda: rig.phase(first) == "out")
-    assert "died on its turn" in rig.ask("n1", "GET", "/v1/work")[1]
+    assert "died on its turn" in rig.management_call("n1", "GET", "/v1/work")[1]
     gevent.sleep(3.0)  # longer than its lease: the others know it as away
     assert rig.phase(second) == "waiting", "it still counts as out"
     play(rig, [Step(0.0, Fault.WAKE, "n2")])
@@ -123,18 +125,21 @@
     calling = gevent.spawn(rig.play, 40.0, 5.0)
     gevent.sleep(4.0)
     assert (
-        rig.ask("n3", "POST", "/v1/work", {"machines": [{"kind": "server", "name": "s-00000001"}]})[0] == 503
+        rig.management_call(
+            "n3", "POST", "/v1/work", {"machines": [{"kind": "server", "name": "s-00000001"}]}
+        )[0]
+        == 503
     )
     (turn,) = rig.request_maintenance("n1", "s-00000001")
     # n3 and n4 are away and take all the room that the limits give: nothing begins on this side either.
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting"
-    assert 'why="as many machines are out as may be"' in rig.ask("n1", "GET", "/v1/work")[1]
+    assert 'why="as many machines are out as may be"' in rig.management_call("n1", "GET", "/v1/work")[1]
     calling.join()
     play(rig, [Step(0.0, Fault.HEAL, "n3"), Step(0.0, Fault.HEAL, "n4")])
     took = rig.until(lambda: rig.phase(turn) == "out", 8.0, rig.nodes["n1"].log)
     assert took < 8.0
-    rig.until(lambda: "s-00000001" in rig.ask("n3", "GET", "/v1/work")[1])
+    rig.until(lambda: "s-00000001" in rig.management_call("n3", "GET", "/v1/work")[1])
     judged(rig, most_out=2)
 
 
@@ -142,9 +147,9 @@
     rig = started(16)
     play(rig, [Step(0.0, Fault.CUT_BACK, "n3")])
     rig.until(lambda: "member=n3 condition=away" in rig.nodes["n1"].log(), 8.0)
-    assert rig.ask("n3", "DELETE", "/v1/work/00000000")[0] == 503
+    assert rig.management_call("n3", "DELETE", "/v1/work/00000000")[0] == 503
     play(rig, [Step(0.0, Fault.HEAL, "n3")])
-    rig.until(lambda: "member=n3 condition=live" in rig.ask("n1", "GET", "/v1/members")[1], 12.0)
+    rig.until(lambda: "member=n3 condition=live" in rig.management_call("n1", "GET", "/v1/members")[1], 12.0)
 
 
 def test_a_stalled_store_delays_no_call_and_ends_no_withholding(started: Starter) -> None:
@@ -181,7 +186,7 @@
     for node in rig.nodes.values():
         rig.until(lambda node=node: "event=store_diverged" in node.log(), 10.0)  # type: ignore[misc]
     assert rig.phase(lost) == ""
-    rig.until(lambda: rig.ask("n2", "GET", "/v1/work")[1].startswith("fresh=true"))
+    rig.until(lambda: rig.management_call("n2", "GET", "/v1/work")[1].startswith("fresh=true"))
     (again,) = rig.request_maintenance("n2", "s-00000001")
     rig.until(lambda: rig.phase(again) == "out")
     judged(rig)
@@ -195,12 +200,15 @@
     for name in lost:
         rig.kill(name)
     rig.until(
-        lambda: all(f"member={name} condition=away" in rig.ask(at, "GET", "/v1/members")[1] for name in lost)
+        lambda: all(
+            f"member={name} condition=away" in rig.management_call(at, "GET", "/v1/members")[1]
+            for name in lost
+        )
     )
     (turn,) = rig.request_maintenance(at, "s-00000001")
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting"
-    assert 'why="a zone is in trouble"' in rig.ask(at, "GET", "/v1/work")[1]
+    assert 'why="a zone is in trouble"' in rig.management_call(at, "GET", "/v1/work")[1]
     rig.start(*lost)
     rig.until(lambda: rig.phase(turn) == "out", 15.0, rig.nodes[at].log)
     judged(rig, most_out=5)
@@ -210,26 +218,26 @@
     rig = started(19, out=0)
     body = {"machines": [{"kind": "softswitch", "name": "n3"}]}
     for _ in range(25):
-        asking = [gevent.spawn(rig.ask, name, "POST", "/v1/work", body) for name in ("n1", "n2")]
+        asking = [gevent.spawn(rig.management_call, name, "POST", "/v1/work", body) for name in ("n1", "n2")]
         gevent.joinall(asking, raise_error=True)
         said = sorted(one.get() for one in asking)
         assert [status for status, _ in said] == [200, 409], said
         turn = said[0][1].split()[0].removeprefix("turn=")
         assert f"has turn {turn} already" in said[1][1], "the one that lost is told to whom"
-        assert rig.ask("n3", "DELETE", f"/v1/work/{turn}") == (200, "ok\n")
+        assert rig.management_call("n3", "DELETE", f"/v1/work/{turn}") == (200, "ok\n")
     judged(rig, most_out=0)
 
 
 def test_one_that_ended_counts_as_out_until_it_is_taken_out_of_the_roster(started: Starter) -> None:
     rig = started(20)
-    assert rig.ask("n1", "DELETE", "/v1/members/n3") == (409, "n3 is live, not away\n")
+    assert rig.management_call("n1", "DELETE", "/v1/members/n3") == (409, "n3 is live, not away\n")
     rig.nodes["n3"].send(signal.SIGTERM)
-    rig.until(lambda: "member=n3 condition=away" in rig.ask("n1", "GET", "/v1/members")[1])
+    rig.until(lambda: "member=n3 condition=away" in rig.management_call("n1", "GET", "/v1/members")[1])
     (turn,) = rig.request_maintenance("n1", "s-00000001")
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting", "a machine that is out for whatever reason takes the room"
-    assert rig.ask("n2", "DELETE", "/v1/members/n9")[0] == 404
-    assert rig.ask("n2", "DELETE", "/v1/members/n3") == (200, "ok\n")
+    assert rig.management_call("n2", "DELETE", "/v1/members/n9")[0] == 404
+    assert rig.management_call("n2", "DELETE", "/v1/members/n3") == (200, "ok\n")
     rig.until(lambda: rig.phase(turn) == "out")
     judged(rig)
 
@@ -241,11 +249,11 @@
     rig.until(lambda: rig.phase(first) == "out")
     gevent.sleep(1.0)
     assert rig.phase(second) == "waiting"
-    assert 'why="too little capacity would remain"' in rig.ask("n2", "GET", "/v1/work")[1]
+    assert 'why="too little capacity would remain"' in rig.management_call("n2", "GET", "/v1/work")[1]
     dead = rig.session_servers[2]
     dead.die()
     rig.coordinator.tell(Listed(dead.server, dead.address, 2, "draining"))
-    assert rig.ask("n3", "POST", f"/v1/work/{first}") == (200, "ok\n")
+    assert rig.management_call("n3", "POST", f"/v1/work/{first}") == (200, "ok\n")
     rig.until(lambda: rig.phase(first) == "done")
     gevent.sleep(1.0)
     assert rig.phase(second) == "waiting", "the one that died takes the room"
@@ -275,7 +283,7 @@
     one: Rig, method: str, path: str, body: bytes | None, status: int
 ) -> None:
     before = one.gateway.store.range(b"/pearloom/turns/", b"/pearloom/turns0")
-    got, text = one.ask("n1", method, path, body)
+    got, text = one.management_call("n1", method, path, body)
     assert (got, text.count("\n")) == (status, 1), text
     assert one.gateway.store.range(b"/pearloom/turns/", b"/pearloom/turns0") == before
 
@@ -284,7 +292,7 @@
 def one() -> Iterator[Rig]:
     rig = Rig(21, 1, maintenance=QUICK)
     rig.start()
-    rig.until(lambda: rig.ask("n1", "GET", "/v1/work")[0] == 200)
+    rig.until(lambda: rig.management_call("n1", "GET", "/v1/work")[0] == 200)
     yield rig
     rig.close()
 
@@ -294,10 +302,12 @@
     one.gateway.store.put(b"/pearloom/turns/bad", value)
     one.gateway.store.put(b"/pearloom/members/bad", value)
     one.gateway._wake()
-    one.until(lambda: "unreadable=turns/bad" in one.ask("n1", "GET", "/v1/work")[1])
-    status, text = one.ask("n1", "POST", "/v1/work", {"machines": [{"kind": "server", "name": "s-00000001"}]})
+    one.until(lambda: "unreadable=turns/bad" in one.management_call("n1", "GET", "/v1/work")[1])
+    status, text = one.management_call(
+        "n1", "POST", "/v1/work", {"machines": [{"kind": "server", "name": "s-00000001"}]}
+    )
     assert (status, "can't be read" in text) == (409, True)
     one.gateway.store.delete(b"/pearloom/turns/bad")
     one.gateway.store.delete(b"/pearloom/members/bad")
     one.gateway._wake()
-    one.until(lambda: "unreadable" not in one.ask("n1", "GET", "/v1/work")[1])
+    one.until(lambda: "unreadable" not in one.management_call("n1", "GET", "/v1/work")[1])
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -50,12 +50,12 @@
 
 
 def _live(rig: Rig, name: str) -> bool:
-    text = rig.ask(name, "GET", "/v1/members")[1]
+    text = rig.management_call(name, "GET", "/v1/members")[1]
     return all(f"member={other} condition=live" in text for other in rig.nodes)
 
 
 def shown(rig: Rig, name: str) -> str:
-    return rig.ask(name, "GET", "/v1/rules")[1]
+    return rig.management_call(name, "GET", "/v1/rules")[1]
 
 
 def done(rig: Rig, name: str, head: int) -> bool:
@@ -84,7 +84,7 @@
     assert version != "none" and not rig.halted()
     rig.until(lambda: done(rig, "n2", rig.head()["number"]))
     assert set(rig.versions().values()) == {version}
-    status, text = rig.ask("n3", "POST", "/v1/rules/undo")
+    status, text = rig.management_call("n3", "POST", "/v1/rules/undo")
     assert (status, "did=undone version=none" in text) == (200, True)
     rig.until(lambda: done(rig, "n4", rig.head()["number"]), 3.0)
     assert set(rig.versions().values()) == {"none"}
@@ -159,7 +159,7 @@
     rig.until(lambda: done(rig, "n1", 1))
     version = rig.head()["version"]
     play(rig, [Step(0.0, Fault.STOP, "n3"), Step(0.0, Fault.CUT, "n4"), Step(0.0, Fault.KILL, "n5")])
-    assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
+    assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
     rig.start("n5")
     assert "event=rules_ready version=none" in rig.nodes["n5"].log(), "right before its first call"
     for name in ("n3", "n4"):  # those away are named
@@ -181,8 +181,10 @@
         rules = [{"name": f"r{turn}", "effect": {"type": "prefer", "cells": [turn % 3]}}]
         edit = {"expected": number, "rules": rules, "at_once": True, "author": "first"}
         asking = [
-            gevent.spawn(rig.ask, "n1", "POST", "/v1/rules", edit),
-            gevent.spawn(rig.ask, "n2", "POST", "/v1/rules/undo", {"expected": number, "author": "second"}),
+            gevent.spawn(rig.management_call, "n1", "POST", "/v1/rules", edit),
+            gevent.spawn(
+                rig.management_call, "n2", "POST", "/v1/rules/undo", {"expected": number, "author": "second"}
+            ),
         ]
         gevent.joinall(asking, raise_error=True)
         said = [one.get() for one in asking]
@@ -208,8 +210,11 @@
     rig.until(lambda: rig.versions()[away] != "none")
     play(rig, [Step(0.0, Fault.CUT, away)])
     rig.until(lambda: f"{away} has told nothing" in rig.halted(), 10.0, lambda: shown(rig, others[0]))
-    assert rig.ask(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0] == 503
-    assert rig.ask(others[0], "POST", "/v1/rules/undo")[0] == 200
+    assert (
+        rig.management_call(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0]
+        == 503
+    )
+    assert rig.management_call(others[0], "POST", "/v1/rules/undo")[0] == 200
     assert rig.versions()[away] != "none", "cut off: calls go on with the rules that it has"
     play(rig, [Step(0.0, Fault.HEAL, away)])
     rig.until(lambda: set(rig.versions().values()) == {"none"}, 8.0, rig.nodes[away].log)
@@ -246,7 +251,7 @@
     gevent.sleep(2.0)
     assert _set_ups(rig, server.server) > before + 5, "where the rules send them"
     way.cut()
-    assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
+    assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
     rig.until(lambda: done(rig, "n1", 2), 3.0)
     calling.join()
     way.heal()
@@ -270,10 +275,12 @@
     calling = gevent.spawn(rig.play, 80.0, 6.0)
     rig.propose("n2", GOOD, 0)
     rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
-    assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
+    assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
     rig.until(lambda: done(rig, "n3", rig.head()["number"]), 3.0)
     (turn,) = rig.request_maintenance("n2", "s-00000001")
-    rig.until(lambda: rig.phase(turn) == "draining", 8.0, lambda: rig.ask("n1", "GET", "/v1/work")[1])
+    rig.until(
+        lambda: rig.phase(turn) == "draining", 8.0, lambda: rig.management_call("n1", "GET", "/v1/work")[1]
+    )
     calling.join()
     judged(rig)
 
@@ -299,7 +306,7 @@
         rig.until(lambda node=node: "event=rules_diverged seen=2 told=1" in node.log(), 10.0)  # type: ignore[misc]
     assert set(rig.versions().values()) == {version}, "nobody obeys the older head"
     rig.until(lambda: "diverged seen=2" in shown(rig, "n2") and "fresh=true" in shown(rig, "n2"))
-    status, text = rig.ask("n2", "POST", "/v1/rules/undo")
+    status, text = rig.management_call("n2", "POST", "/v1/rules/undo")
     assert status == 200 and rig.head()["number"] == 3, text
     rig.until(lambda: set(rig.versions().values()) == {"none"}, 5.0)
     assert all("event=rules_converged" in node.log() for node in rig.nodes.values())
@@ -334,7 +341,7 @@
 def one() -> Iterator[Rig]:
     rig = Rig(43, 1, rules=QUICK)
     rig.start()
-    rig.until(lambda: rig.ask("n1", "GET", "/v1/rules")[0] == 200)
+    rig.until(lambda: rig.management_call("n1", "GET", "/v1/rules")[0] == 200)
     yield rig
     rig.close()
 
@@ -366,7 +373,7 @@
     one: Rig, method: str, path: str, body: bytes | None, status: int, says: str
 ) -> None:
     before = one.gateway.store.range(b"/pearloom/rules/", b"/pearloom/rules0")
-    got, text = one.ask("n1", method, path, body)
+    got, text = one.management_call("n1", method, path, body)
     assert (got, text.count("\n")) == (status, 1) and says in text, text
     assert one.gateway.store.range(b"/pearloom/rules/", b"/pearloom/rules0") == before
 
