--- a/benchmarks/store_load.py
+++ b/benchmarks/store_load.py
@@ -46,7 +46,7 @@
     rig = Rig(71, members)
     try:
         rig.start()
-        rig.until(
+        rig.wait_until(
             lambda: rig.management_call("n1", "GET", "/v1/members")[1].count("condition=live") == members,
             30.0,
         )
--- a/benchmarks/undo.py
+++ b/benchmarks/undo.py
@@ -52,7 +52,7 @@
     try:
         rig.start()
         names = set(rig.nodes)
-        rig.until(
+        rig.wait_until(
             lambda: rig.management_call("n1", "GET", "/v1/members")[1].count("condition=live") == processes,
             30.0,
         )
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -157,7 +157,7 @@
                 node.caller = BinaryCaller(self.journal, f"caller-{node.name}", node.listen)
 
     def _await_start(self, node: Node, before: int) -> None:
-        self.until(lambda: node.log().count("event=started") > before, START_S, node.log)
+        self.wait_until(lambda: node.log().count("event=started") > before, START_S, node.log)
 
     def _spawn(self, node: Node) -> None:
         told = {
@@ -210,7 +210,9 @@
         assert node.process is not None
         self._threads.apply(node.process.wait)
 
-    def until(self, holds: Callable[[], bool], most_s: float = 10.0, tell: Callable[[], str] = str) -> float:
+    def wait_until(
+        self, holds: Callable[[], bool], most_s: float = 10.0, tell: Callable[[], str] = str
+    ) -> float:
         """Wait until it holds; returns the seconds that it took, and fails with what `tell` gives."""
         began = time.monotonic()
         while not holds():
@@ -320,7 +322,7 @@
 
     def settle(self, most_s: float = 15.0) -> None:
         """Wait until nothing stands or is open."""
-        self.until(
+        self.wait_until(
             lambda: self._history().is_quiet and not any(one.standing for one in self.all_servers),
             most_s,
         )
--- a/tests/docs/test_examples.py
+++ b/tests/docs/test_examples.py
@@ -51,7 +51,9 @@
 def rig() -> Iterator[Rig]:
     held = Rig(51, 3)
     held.start()
-    held.until(lambda: all(f"member={name} condition=live" in held.nodes["n1"].log() for name in held.nodes))
+    held.wait_until(
+        lambda: all(f"member={name} condition=live" in held.nodes["n1"].log() for name in held.nodes)
+    )
     yield held
     held.close()
 
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -28,9 +28,11 @@
         )
         rigs.append(rig)
         rig.start()
-        rig.until(lambda: all(f"member={name} condition=live" in rig.nodes["n1"].log() for name in rig.nodes))
+        rig.wait_until(
+            lambda: all(f"member={name} condition=live" in rig.nodes["n1"].log() for name in rig.nodes)
+        )
         limits = f"limits.out={rig.maintenance['out']}\n"
-        rig.until(
+        rig.wait_until(
             lambda: all(limits in rig.management_call(name, "GET", "/v1/work")[1] for name in rig.nodes), 15.0
         )
         return rig
@@ -41,7 +43,7 @@
 
 
 def await_done(rig: Rig, turn: str) -> None:
-    rig.until(lambda: rig.phase(turn) in ("done", ""), 10.0, rig.nodes["n2"].log)
+    rig.wait_until(lambda: rig.phase(turn) in ("done", ""), 10.0, rig.nodes["n2"].log)
 
 
 def judged(rig: Rig, most_out: int = 1) -> None:
@@ -56,7 +58,7 @@
     calling = gevent.spawn(rig.play, 40.0, 6.0)
     gevent.sleep(1.0)
     (turn,) = rig.request_maintenance("n2", "s-00000001")
-    rig.until(lambda: rig.phase(turn) == "out")
+    rig.wait_until(lambda: rig.phase(turn) == "out")
     gevent.sleep(0.3)
     before = [
         one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000001"
@@ -67,7 +69,7 @@
     ]
     assert before == after and before, "no new set-up while it is out"
     assert rig.management_call("n1", "POST", f"/v1/work/{turn}") == (200, "ok\n")
-    rig.until(lambda: rig.phase(turn) == "done")
+    rig.wait_until(lambda: rig.phase(turn) == "done")
     calling.join()
     last = [
         one.at_ms for one in rig.journal.entries if one.kind is EntryKind.SET_UP and one.party == "s-00000001"
@@ -81,7 +83,7 @@
     calling = gevent.spawn(rig.play, 40.0, 12.0)
     turns = rig.request_maintenance("n1", "n1", "n2", "n3")
     for _ in turns:
-        rig.until(lambda: any(rig.phase(turn) == "out" for turn in turns), 8.0, rig.nodes["n1"].log)
+        rig.wait_until(lambda: any(rig.phase(turn) == "out" for turn in turns), 8.0, rig.nodes["n1"].log)
         out = next(turn for turn in turns if rig.phase(turn) == "out")
         name = rig.machine(out)
         assert rig.drained(rig.nodes[name])
@@ -95,18 +97,18 @@
 def test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant(started: Starter) -> None:
     rig = started(13, holds_ms=600_000.0, drain_ms=60_000)
     rig.place("n2", holds_ms=9_000.0)  # a call that stands there: the drain does not end by itself
-    rig.until(lambda: any(one.kind is EntryKind.ESTABLISHED for one in rig.journal.entries))
+    rig.wait_until(lambda: any(one.kind is EntryKind.ESTABLISHED for one in rig.journal.entries))
     (first,) = rig.request_maintenance("n1", "n2")
-    rig.until(lambda: rig.phase(first) == "draining")
+    rig.wait_until(lambda: rig.phase(first) == "draining")
     second, *_ = rig.request_maintenance("n3", "n3")
     play(rig, [Step(0.0, Fault.STOP, "n2")])
-    rig.until(lambda: rig.phase(first) == "out")
+    rig.wait_until(lambda: rig.phase(first) == "out")
     assert "died on its turn" in rig.management_call("n1", "GET", "/v1/work")[1]
     gevent.sleep(3.0)  # longer than its lease: the others know it as away
     assert rig.phase(second) == "waiting", "it still counts as out"
     play(rig, [Step(0.0, Fault.WAKE, "n2")])
-    rig.until(lambda: not rig.drained(rig.nodes["n2"]), 8.0, rig.nodes["n2"].log)
-    rig.until(lambda: rig.phase(second) in ("draining", "out"), 10.0, rig.nodes["n1"].log)
+    rig.wait_until(lambda: not rig.drained(rig.nodes["n2"]), 8.0, rig.nodes["n2"].log)
+    rig.wait_until(lambda: rig.phase(second) in ("draining", "out"), 10.0, rig.nodes["n1"].log)
     judged(rig)
 
 
@@ -114,7 +116,7 @@
     rig = started(14)
     rig.gateway.faults.lose_replies = 6
     (turn,) = rig.request_maintenance("n1", "s-00000002")
-    rig.until(lambda: rig.phase(turn) == "out")
+    rig.wait_until(lambda: rig.phase(turn) == "out")
     assert any("event=store_reply_lost" in node.log() for node in rig.nodes.values())
     judged(rig)
 
@@ -137,25 +139,27 @@
     assert 'why="as many machines are out as may be"' in rig.management_call("n1", "GET", "/v1/work")[1]
     calling.join()
     play(rig, [Step(0.0, Fault.HEAL, "n3"), Step(0.0, Fault.HEAL, "n4")])
-    took = rig.until(lambda: rig.phase(turn) == "out", 8.0, rig.nodes["n1"].log)
+    took = rig.wait_until(lambda: rig.phase(turn) == "out", 8.0, rig.nodes["n1"].log)
     assert took < 8.0
-    rig.until(lambda: "s-00000001" in rig.management_call("n3", "GET", "/v1/work")[1])
+    rig.wait_until(lambda: "s-00000001" in rig.management_call("n3", "GET", "/v1/work")[1])
     judged(rig, most_out=2)
 
 
 def test_a_one_way_cut_is_a_cut(started: Starter) -> None:
     rig = started(16)
     play(rig, [Step(0.0, Fault.CUT_BACK, "n3")])
-    rig.until(lambda: "member=n3 condition=away" in rig.nodes["n1"].log(), 8.0)
+    rig.wait_until(lambda: "member=n3 condition=away" in rig.nodes["n1"].log(), 8.0)
     assert rig.management_call("n3", "DELETE", "/v1/work/00000000")[0] == 503
     play(rig, [Step(0.0, Fault.HEAL, "n3")])
-    rig.until(lambda: "member=n3 condition=live" in rig.management_call("n1", "GET", "/v1/members")[1], 12.0)
+    rig.wait_until(
+        lambda: "member=n3 condition=live" in rig.management_call("n1", "GET", "/v1/members")[1], 12.0
+    )
 
 
 def test_a_stalled_store_delays_no_call_and_ends_no_withholding(started: Starter) -> None:
     rig = started(17)
     (turn,) = rig.request_maintenance("n1", "s-00000003")
-    rig.until(lambda: rig.phase(turn) == "out")
+    rig.wait_until(lambda: rig.phase(turn) == "out")
     rig.play(40.0, 2.0)
     rig.gateway.faults.paused = True
     stalled_ms = time.time() * 1000.0
@@ -181,14 +185,14 @@
     rig = started(18)
     rig.gateway.store.save()
     (lost,) = rig.request_maintenance("n1", "s-00000001")
-    rig.until(lambda: rig.phase(lost) == "out")
+    rig.wait_until(lambda: rig.phase(lost) == "out")
     rig.gateway.restart(without_last_writes=True)
     for node in rig.nodes.values():
-        rig.until(lambda node=node: "event=store_diverged" in node.log(), 10.0)  # type: ignore[misc]
+        rig.wait_until(lambda node=node: "event=store_diverged" in node.log(), 10.0)  # type: ignore[misc]
     assert rig.phase(lost) == ""
-    rig.until(lambda: rig.management_call("n2", "GET", "/v1/work")[1].startswith("fresh=true"))
+    rig.wait_until(lambda: rig.management_call("n2", "GET", "/v1/work")[1].startswith("fresh=true"))
     (again,) = rig.request_maintenance("n2", "s-00000001")
-    rig.until(lambda: rig.phase(again) == "out")
+    rig.wait_until(lambda: rig.phase(again) == "out")
     judged(rig)
 
 
@@ -199,7 +203,7 @@
     at = next(name for name in zones if name not in lost)
     for name in lost:
         rig.kill(name)
-    rig.until(
+    rig.wait_until(
         lambda: all(
             f"member={name} condition=away" in rig.management_call(at, "GET", "/v1/members")[1]
             for name in lost
@@ -210,7 +214,7 @@
     assert rig.phase(turn) == "waiting"
     assert 'why="a zone is in trouble"' in rig.management_call(at, "GET", "/v1/work")[1]
     rig.start(*lost)
-    rig.until(lambda: rig.phase(turn) == "out", 15.0, rig.nodes[at].log)
+    rig.wait_until(lambda: rig.phase(turn) == "out", 15.0, rig.nodes[at].log)
     judged(rig, most_out=5)
 
 
@@ -232,13 +236,13 @@
     rig = started(20)
     assert rig.management_call("n1", "DELETE", "/v1/members/n3") == (409, "n3 is live, not away\n")
     rig.nodes["n3"].send(signal.SIGTERM)
-    rig.until(lambda: "member=n3 condition=away" in rig.management_call("n1", "GET", "/v1/members")[1])
+    rig.wait_until(lambda: "member=n3 condition=away" in rig.management_call("n1", "GET", "/v1/members")[1])
     (turn,) = rig.request_maintenance("n1", "s-00000001")
     gevent.sleep(1.0)
     assert rig.phase(turn) == "waiting", "a machine that is out for whatever reason takes the room"
     assert rig.management_call("n2", "DELETE", "/v1/members/n9")[0] == 404
     assert rig.management_call("n2", "DELETE", "/v1/members/n3") == (200, "ok\n")
-    rig.until(lambda: rig.phase(turn) == "out")
+    rig.wait_until(lambda: rig.phase(turn) == "out")
     judged(rig)
 
 
@@ -246,7 +250,7 @@
     rig = started(22, out=3, out_zone=3, floor=0.5)
     calling = gevent.spawn(rig.play, 60.0, 7.0)
     first, second = rig.request_maintenance("n1", "s-00000001", "s-00000002")
-    rig.until(lambda: rig.phase(first) == "out")
+    rig.wait_until(lambda: rig.phase(first) == "out")
     gevent.sleep(1.0)
     assert rig.phase(second) == "waiting"
     assert 'why="too little capacity would remain"' in rig.management_call("n2", "GET", "/v1/work")[1]
@@ -254,7 +258,7 @@
     dead.die()
     rig.coordinator.tell(Listed(dead.server, dead.address, 2, "draining"))
     assert rig.management_call("n3", "POST", f"/v1/work/{first}") == (200, "ok\n")
-    rig.until(lambda: rig.phase(first) == "done")
+    rig.wait_until(lambda: rig.phase(first) == "done")
     gevent.sleep(1.0)
     assert rig.phase(second) == "waiting", "the one that died takes the room"
     calling.join()
@@ -292,7 +296,7 @@
 def one() -> Iterator[Rig]:
     rig = Rig(21, 1, maintenance=QUICK)
     rig.start()
-    rig.until(lambda: rig.management_call("n1", "GET", "/v1/work")[0] == 200)
+    rig.wait_until(lambda: rig.management_call("n1", "GET", "/v1/work")[0] == 200)
     yield rig
     rig.close()
 
@@ -302,7 +306,7 @@
     one.gateway.store.put(b"/pearloom/turns/bad", value)
     one.gateway.store.put(b"/pearloom/members/bad", value)
     one.gateway._wake()
-    one.until(lambda: "unreadable=turns/bad" in one.management_call("n1", "GET", "/v1/work")[1])
+    one.wait_until(lambda: "unreadable=turns/bad" in one.management_call("n1", "GET", "/v1/work")[1])
     status, text = one.management_call(
         "n1", "POST", "/v1/work", {"machines": [{"kind": "server", "name": "s-00000001"}]}
     )
@@ -310,4 +314,4 @@
     one.gateway.store.delete(b"/pearloom/turns/bad")
     one.gateway.store.delete(b"/pearloom/members/bad")
     one.gateway._wake()
-    one.until(lambda: "unreadable" not in one.management_call("n1", "GET", "/v1/work")[1])
+    one.wait_until(lambda: "unreadable" not in one.management_call("n1", "GET", "/v1/work")[1])
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -41,7 +41,7 @@
         )
         rigs.append(rig)
         rig.start()
-        rig.until(lambda: all(_live(rig, name) for name in rig.nodes), 15.0)
+        rig.wait_until(lambda: all(_live(rig, name) for name in rig.nodes), 15.0)
         return rig
 
     yield start
@@ -78,15 +78,15 @@
     calling = gevent.spawn(rig.play, 80.0, 8.0)
     rig.propose("n1", GOOD, 0)
     assert len(stage_of(rig)) == 1
-    rig.until(lambda: len(stage_of(rig)) == 2, 12.0, lambda: shown(rig, "n1"))
-    rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: len(stage_of(rig)) == 2, 12.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
     version = rig.head()["version"]
     assert version != "none" and not rig.halted()
-    rig.until(lambda: done(rig, "n2", rig.head()["number"]))
+    rig.wait_until(lambda: done(rig, "n2", rig.head()["number"]))
     assert set(rig.versions().values()) == {version}
     status, text = rig.management_call("n3", "POST", "/v1/rules/undo")
     assert (status, "did=undone version=none" in text) == (200, True)
-    rig.until(lambda: done(rig, "n4", rig.head()["number"]), 3.0)
+    rig.wait_until(lambda: done(rig, "n4", rig.head()["number"]), 3.0)
     assert set(rig.versions().values()) == {"none"}
     calling.join()
     judged(rig)
@@ -97,11 +97,11 @@
     calling = gevent.spawn(rig.play, 100.0, 15.0)
     gevent.sleep(1.0)
     rig.propose("n2", BAD, 0, stages=[0, 0.5])
-    rig.until(lambda: bool(rig.halted()), 14.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: bool(rig.halted()), 14.0, lambda: shown(rig, "n1"))
     assert "of class save-answers" in rig.halted(), rig.halted()
     assert len(stage_of(rig)) == 1, "no wider"
-    rig.until(lambda: set(rig.versions().values()) == {"none"}, 3.0)
-    rig.until(lambda: any("event=rollout did=halted" in node.log() for node in rig.nodes.values()), 2.0)
+    rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 3.0)
+    rig.wait_until(lambda: any("event=rollout did=halted" in node.log() for node in rig.nodes.values()), 2.0)
     calling.kill()
     judged(rig)
 
@@ -112,7 +112,7 @@
         server.manner = ServerProfile(mean_hold_ms=400.0, unanswered_share=0.04)
     calling = gevent.spawn(rig.play, 80.0, 9.0)
     rig.propose("n2", OTHER, 0)
-    rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
     assert rig.head()["version"] != "none"
     calling.join()
     judged(rig)
@@ -129,7 +129,7 @@
         rig.kill(name)
         rig.start(name)
     assert f"event=rules_ready version={version}" in rig.nodes[inside].log(), "before its first call"
-    rig.until(lambda: not rig.head()["rollout"], 14.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 14.0, lambda: shown(rig, "n1"))
     assert rig.head()["version"] == version
     calling.join()
     counted = sum(_calls(value) for value in _last_told(rig).values())
@@ -156,7 +156,7 @@
     rig = started(35, softswitches=5)
     calling = gevent.spawn(rig.play, 60.0, 9.0)
     rig.propose("n1", GOOD, 0, at_once=True)
-    rig.until(lambda: done(rig, "n1", 1))
+    rig.wait_until(lambda: done(rig, "n1", 1))
     version = rig.head()["version"]
     play(rig, [Step(0.0, Fault.STOP, "n3"), Step(0.0, Fault.CUT, "n4"), Step(0.0, Fault.KILL, "n5")])
     assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
@@ -164,10 +164,12 @@
     assert "event=rules_ready version=none" in rig.nodes["n5"].log(), "right before its first call"
     for name in ("n3", "n4"):  # those away are named
         named = f"member={name} condition=away away=2"
-        rig.until(lambda named=named: named in shown(rig, "n1"), 8.0, lambda: shown(rig, "n1"))  # type: ignore[misc]
+        rig.wait_until(lambda named=named: named in shown(rig, "n1"), 8.0, lambda: shown(rig, "n1"))  # type: ignore[misc]
     assert rig.versions()["n4"] == version, "cut off: what it has goes on"
     play(rig, [Step(0.0, Fault.WAKE, "n3"), Step(0.0, Fault.HEAL, "n4")])
-    rig.until(lambda: done(rig, "n1", 2) and "away=2" not in shown(rig, "n1"), 8.0, lambda: shown(rig, "n1"))
+    rig.wait_until(
+        lambda: done(rig, "n1", 2) and "away=2" not in shown(rig, "n1"), 8.0, lambda: shown(rig, "n1")
+    )
     assert set(rig.versions().values()) == {"none"}
     calling.join()
     judged(rig)
@@ -196,7 +198,7 @@
         taken += len(won)
         if turn:
             assert f"the head is {number + 1} " in lost[0], "the one that lost is told the head it lost to"
-        rig.until(lambda number=number: rig.head()["number"] == number + 1)  # type: ignore[misc]
+        rig.wait_until(lambda number=number: rig.head()["number"] == number + 1)  # type: ignore[misc]
     assert rig.head()["number"] == taken
     judged(rig)
 
@@ -207,9 +209,9 @@
     rig.propose("n1", GOOD, 0, stages=[0.5])
     away = stage_of(rig)[0]
     others = [name for name in rig.nodes if name != away]
-    rig.until(lambda: rig.versions()[away] != "none")
+    rig.wait_until(lambda: rig.versions()[away] != "none")
     play(rig, [Step(0.0, Fault.CUT, away)])
-    rig.until(lambda: f"{away} has told nothing" in rig.halted(), 10.0, lambda: shown(rig, others[0]))
+    rig.wait_until(lambda: f"{away} has told nothing" in rig.halted(), 10.0, lambda: shown(rig, others[0]))
     assert (
         rig.management_call(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0]
         == 503
@@ -217,7 +219,7 @@
     assert rig.management_call(others[0], "POST", "/v1/rules/undo")[0] == 200
     assert rig.versions()[away] != "none", "cut off: calls go on with the rules that it has"
     play(rig, [Step(0.0, Fault.HEAL, away)])
-    rig.until(lambda: set(rig.versions().values()) == {"none"}, 8.0, rig.nodes[away].log)
+    rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 8.0, rig.nodes[away].log)
     calling.join()
     judged(rig)
 
@@ -229,10 +231,10 @@
     rig.propose("n1", BAD, 0, stages=[0])
     (inside,) = stage_of(rig)
     play(rig, [Step(0.0, Fault.CUT, inside)])
-    rig.until(lambda: "event=rules_left" in rig.nodes[inside].log(), 18.0, rig.nodes[inside].log)
+    rig.wait_until(lambda: "event=rules_left" in rig.nodes[inside].log(), 18.0, rig.nodes[inside].log)
     assert rig.versions()[inside] == "none"
     play(rig, [Step(0.0, Fault.HEAL, inside)])
-    rig.until(lambda: f"{inside} went back by itself" in rig.halted(), 8.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: f"{inside} went back by itself" in rig.halted(), 8.0, lambda: shown(rig, "n1"))
     calling.kill()
     judged(rig)
 
@@ -246,13 +248,13 @@
     way.disturb(Faults(loss_share=0.2, duplicate_share=0.1, delay_share=0.2))
     calling = gevent.spawn(rig.play, 40.0, 8.0)
     rig.propose("n1", [{"name": "iax2", "effect": {"type": "only", "cells": [3]}}], 0, at_once=True)
-    rig.until(lambda: done(rig, "n2", 1))
+    rig.wait_until(lambda: done(rig, "n2", 1))
     before = _set_ups(rig, server.server)
     gevent.sleep(2.0)
     assert _set_ups(rig, server.server) > before + 5, "where the rules send them"
     way.cut()
     assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
-    rig.until(lambda: done(rig, "n1", 2), 3.0)
+    rig.wait_until(lambda: done(rig, "n1", 2), 3.0)
     calling.join()
     way.heal()
     standing = [one for one in rig.journal.entries if one.kind is EntryKind.ESTABLISHED]
@@ -271,14 +273,14 @@
     rig.kill("n2")
     rig.nodes["n2"].drift_s = -3_600.0
     rig.start("n2")
-    rig.until(lambda: all(_live(rig, name) for name in rig.nodes), 10.0, lambda: shown(rig, "n2"))
+    rig.wait_until(lambda: all(_live(rig, name) for name in rig.nodes), 10.0, lambda: shown(rig, "n2"))
     calling = gevent.spawn(rig.play, 80.0, 6.0)
     rig.propose("n2", GOOD, 0)
-    rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
     assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
-    rig.until(lambda: done(rig, "n3", rig.head()["number"]), 3.0)
+    rig.wait_until(lambda: done(rig, "n3", rig.head()["number"]), 3.0)
     (turn,) = rig.request_maintenance("n2", "s-00000001")
-    rig.until(
+    rig.wait_until(
         lambda: rig.phase(turn) == "draining", 8.0, lambda: rig.management_call("n1", "GET", "/v1/work")[1]
     )
     calling.join()
@@ -288,36 +290,36 @@
 def test_a_store_that_nobody_can_write_to_halts_a_rollout(started: Starter) -> None:
     rig = started(39, away_ms=2_000, silent_ms=60_000, soak_ms=30_000)
     rig.propose("n1", GOOD, 0)
-    rig.until(lambda: len(_last_told(rig)) >= 4)
+    rig.wait_until(lambda: len(_last_told(rig)) >= 4)
     play(rig, [Step(0.0, Fault.STORE_PAUSE), Step(3_500.0, Fault.STORE_GO)])
-    rig.until(lambda: "nobody could write to the store" in rig.halted(), 10.0, rig.nodes["n1"].log)
+    rig.wait_until(lambda: "nobody could write to the store" in rig.halted(), 10.0, rig.nodes["n1"].log)
 
 
 def test_a_store_without_its_last_writes_is_named_and_its_older_head_not_obeyed(started: Starter) -> None:
     rig = started(40, softswitches=3)
     rig.propose("n1", GOOD, 0, at_once=True)
-    rig.until(lambda: done(rig, "n1", 1))
+    rig.wait_until(lambda: done(rig, "n1", 1))
     rig.gateway.store.save()
     rig.propose("n1", OTHER, 1, at_once=True)
-    rig.until(lambda: done(rig, "n1", 2))
+    rig.wait_until(lambda: done(rig, "n1", 2))
     version = rig.head()["version"]
     rig.gateway.restart(without_last_writes=True)
     for node in rig.nodes.values():
-        rig.until(lambda node=node: "event=rules_diverged seen=2 told=1" in node.log(), 10.0)  # type: ignore[misc]
+        rig.wait_until(lambda node=node: "event=rules_diverged seen=2 told=1" in node.log(), 10.0)  # type: ignore[misc]
     assert set(rig.versions().values()) == {version}, "nobody obeys the older head"
-    rig.until(lambda: "diverged seen=2" in shown(rig, "n2") and "fresh=true" in shown(rig, "n2"))
+    rig.wait_until(lambda: "diverged seen=2" in shown(rig, "n2") and "fresh=true" in shown(rig, "n2"))
     status, text = rig.management_call("n2", "POST", "/v1/rules/undo")
     assert status == 200 and rig.head()["number"] == 3, text
-    rig.until(lambda: set(rig.versions().values()) == {"none"}, 5.0)
+    rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 5.0)
     assert all("event=rules_converged" in node.log() for node in rig.nodes.values())
 
 
 def test_a_start_without_the_store_goes_by_the_snapshot_on_disk(started: Starter) -> None:
     rig = started(41, softswitches=2)
     rig.propose("n1", GOOD, 0, at_once=True)
-    rig.until(lambda: done(rig, "n1", 1))
+    rig.wait_until(lambda: done(rig, "n1", 1))
     version, path = rig.head()["version"], rig.nodes["n2"].folder / "rules"
-    rig.until(path.exists)
+    rig.wait_until(path.exists)
     play(rig, [Step(0.0, Fault.CUT, "n2"), Step(0.0, Fault.KILL, "n2"), Step(0.0, Fault.START, "n2")])
     assert f"event=rules_ready version={version} head=1 store=False" in rig.nodes["n2"].log()
     assert "event=rules_from_snapshot head=1 age_s=" in rig.nodes["n2"].log()
@@ -326,7 +328,7 @@
     assert "event=rules_snapshot_unusable" in rig.nodes["n2"].log()
     assert rig.versions()["n2"] == "none", "a torn snapshot is not guessed at"
     play(rig, [Step(0.0, Fault.HEAL, "n2")])
-    rig.until(lambda: rig.versions()["n2"] == version, 8.0)
+    rig.wait_until(lambda: rig.versions()["n2"] == version, 8.0)
 
 
 def test_a_lost_reply_of_the_winning_edit_is_told_as_won(started: Starter) -> None:
@@ -341,7 +343,7 @@
 def one() -> Iterator[Rig]:
     rig = Rig(43, 1, rules=QUICK)
     rig.start()
-    rig.until(lambda: rig.management_call("n1", "GET", "/v1/rules")[0] == 200)
+    rig.wait_until(lambda: rig.management_call("n1", "GET", "/v1/rules")[0] == 200)
     yield rig
     rig.close()
 
@@ -389,12 +391,12 @@
         one.gateway.store.put(b"/pearloom/" + key, value)
     one.gateway._wake()
     if value != b"{}":  # a head of defaults alone is what is there before any
-        one.until(lambda: "diverged seen=" in shown(one, "n1"), 10.0, lambda: shown(one, "n1"))
+        one.wait_until(lambda: "diverged seen=" in shown(one, "n1"), 10.0, lambda: shown(one, "n1"))
     assert one.versions()["n1"] == "none" and one.nodes["n1"].runs
     for key in (b"rules/head", b"rules/log/bad", b"rules/versions/bad", b"rules/at/bad", b"evidence/bad"):
         one.gateway.store.delete(b"/pearloom/" + key)
     one.gateway._wake()
-    one.until(lambda: "diverged" not in shown(one, "n1"))
+    one.wait_until(lambda: "diverged" not in shown(one, "n1"))
 
 
 def test_a_softswitch_that_is_told_to_end_leaves_the_rollout_to_the_others(started: Starter) -> None:
@@ -402,4 +404,4 @@
     rig.propose("n1", GOOD, 0)
     (inside,) = stage_of(rig)
     rig.nodes[inside].send(signal.SIGTERM)
-    rig.until(lambda: f"{inside} has told nothing" in rig.halted(), 12.0)
+    rig.wait_until(lambda: f"{inside} has told nothing" in rig.halted(), 12.0)
