--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -191,7 +191,7 @@
             )  # fmt: skip
         node.stopped = False
 
-    def excuse(self, name: str) -> None:
+    def exclude_calls(self, name: str) -> None:
         """Its process ends or stops this moment: no rule holds for the calls that it has now."""
         offered = (one for one in self.journal.entries if one.kind is EntryKind.OFFERED)
         self._excused |= {one.call for one in offered if one.party == f"caller-{name}"}
@@ -205,7 +205,7 @@
     def kill(self, name: str) -> None:
         """SIGKILL, and wait for its end."""
         node = self.nodes[name]
-        self.excuse(name)
+        self.exclude_calls(name)
         node.send(signal.SIGKILL)
         assert node.process is not None
         self._threads.apply(node.process.wait)
--- a/pearloom/fakes/fleet/script.py
+++ b/pearloom/fakes/fleet/script.py
@@ -55,7 +55,7 @@
         case Fault.KILL:
             rig.kill(step.name)
         case Fault.STOP:
-            rig.excuse(step.name)
+            rig.exclude_calls(step.name)
             node.send(signal.SIGSTOP)
         case Fault.WAKE:
             node.send(signal.SIGCONT)
