--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -265,7 +265,7 @@
         found: Mapping[str, Any] = json.loads(held[0].value) if held else {"number": 0, "version": "none"}
         return found
 
-    def halted(self) -> str:
+    def halt_reason(self) -> str:
         """Why the rollout at the head halted; empty where none has."""
         return str((self.head().get("rollout") or {}).get("halted", ""))
 
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -81,7 +81,7 @@
     rig.wait_until(lambda: len(stage_of(rig)) == 2, 12.0, lambda: shown(rig, "n1"))
     rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
     version = rig.head()["version"]
-    assert version != "none" and not rig.halted()
+    assert version != "none" and not rig.halt_reason()
     rig.wait_until(lambda: done(rig, "n2", rig.head()["number"]))
     assert set(rig.versions().values()) == {version}
     status, text = rig.management_call("n3", "POST", "/v1/rules/undo")
@@ -97,8 +97,8 @@
     calling = gevent.spawn(rig.play, 100.0, 15.0)
     gevent.sleep(1.0)
     rig.propose("n2", BAD, 0, stages=[0, 0.5])
-    rig.wait_until(lambda: bool(rig.halted()), 14.0, lambda: shown(rig, "n1"))
-    assert "of class save-answers" in rig.halted(), rig.halted()
+    rig.wait_until(lambda: bool(rig.halt_reason()), 14.0, lambda: shown(rig, "n1"))
+    assert "of class save-answers" in rig.halt_reason(), rig.halt_reason()
     assert len(stage_of(rig)) == 1, "no wider"
     rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 3.0)
     rig.wait_until(lambda: any("event=rollout did=halted" in node.log() for node in rig.nodes.values()), 2.0)
@@ -211,7 +211,9 @@
     others = [name for name in rig.nodes if name != away]
     rig.wait_until(lambda: rig.versions()[away] != "none")
     play(rig, [Step(0.0, Fault.CUT, away)])
-    rig.wait_until(lambda: f"{away} has told nothing" in rig.halted(), 10.0, lambda: shown(rig, others[0]))
+    rig.wait_until(
+        lambda: f"{away} has told nothing" in rig.halt_reason(), 10.0, lambda: shown(rig, others[0])
+    )
     assert (
         rig.management_call(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0]
         == 503
@@ -234,7 +236,9 @@
     rig.wait_until(lambda: "event=rules_left" in rig.nodes[inside].log(), 18.0, rig.nodes[inside].log)
     assert rig.versions()[inside] == "none"
     play(rig, [Step(0.0, Fault.HEAL, inside)])
-    rig.wait_until(lambda: f"{inside} went back by itself" in rig.halted(), 8.0, lambda: shown(rig, "n1"))
+    rig.wait_until(
+        lambda: f"{inside} went back by itself" in rig.halt_reason(), 8.0, lambda: shown(rig, "n1")
+    )
     calling.kill()
     judged(rig)
 
@@ -292,7 +296,7 @@
     rig.propose("n1", GOOD, 0)
     rig.wait_until(lambda: len(_last_told(rig)) >= 4)
     play(rig, [Step(0.0, Fault.STORE_PAUSE), Step(3_500.0, Fault.STORE_GO)])
-    rig.wait_until(lambda: "nobody could write to the store" in rig.halted(), 10.0, rig.nodes["n1"].log)
+    rig.wait_until(lambda: "nobody could write to the store" in rig.halt_reason(), 10.0, rig.nodes["n1"].log)
 
 
 def test_a_store_without_its_last_writes_is_named_and_its_older_head_not_obeyed(started: Starter) -> None:
@@ -404,4 +408,4 @@
     rig.propose("n1", GOOD, 0)
     (inside,) = stage_of(rig)
     rig.nodes[inside].send(signal.SIGTERM)
-    rig.wait_until(lambda: f"{inside} has told nothing" in rig.halted(), 12.0)
+    rig.wait_until(lambda: f"{inside} has told nothing" in rig.halt_reason(), 12.0)
