--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -61,7 +61,7 @@
     drift_s: float = 0.0  # by so much its wall clock is off from its next start on
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Is its process there and not stopped?"""
         return self.process is not None and self.process.poll() is None and not self.stopped
 
@@ -298,7 +298,7 @@
         began = time.time()
         for number in range(int(per_s * for_s)):
             gevent.sleep(max(began + number / per_s - time.time(), 0.0))
-            ready = [node for node in self.nodes.values() if node.runs and not self.drained(node)]
+            ready = [node for node in self.nodes.values() if node.is_running and not self.drained(node)]
             if not ready:
                 continue
             with contextlib.suppress(OSError):  # its process ended, or has not begun to listen
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -396,7 +396,7 @@
     one.gateway._wake()
     if value != b"{}":  # a head of defaults alone is what is there before any
         one.wait_until(lambda: "diverged seen=" in shown(one, "n1"), 10.0, lambda: shown(one, "n1"))
-    assert one.versions()["n1"] == "none" and one.nodes["n1"].runs
+    assert one.versions()["n1"] == "none" and one.nodes["n1"].is_running
     for key in (b"rules/head", b"rules/log/bad", b"rules/versions/bad", b"rules/at/bad", b"evidence/bad"):
         one.gateway.store.delete(b"/pearloom/" + key)
     one.gateway._wake()
