--- a/pearloom/fakes/fleet/history.py
+++ b/pearloom/fakes/fleet/history.py
@@ -22,7 +22,7 @@
 }
 
 
-def broken_slots(store: KeyValueStore, most_out: int) -> list[str]:
+def slot_violations(store: KeyValueStore, most_out: int) -> list[str]:
     """Each break of an invariant, in a line: too many out, a phase out of order, two grants of one life."""
     found: list[str] = []
     slots: dict[str, Mapping[str, Any]] = {}
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pearloom.fakes.coordinator import Listed
-from pearloom.fakes.fleet import Fault, Rig, Step, broken_slots, play
+from pearloom.fakes.fleet import Fault, Rig, Step, play, slot_violations
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
 
@@ -49,7 +49,7 @@
 def judged(rig: Rig, most_out: int = 1) -> None:
     """No invariant of turns and no rule of the platform is broken."""
     rig.settle()
-    assert broken_slots(rig.gateway.store, most_out) == []
+    assert slot_violations(rig.gateway.store, most_out) == []
     assert [f"{one.rule}: {one.detail}" for one in rig.report().violations] == []
 
 
@@ -91,7 +91,7 @@
         rig.start(name)
         await_done(rig, out)
     calling.join()
-    assert broken_slots(rig.gateway.store, 1) == []
+    assert slot_violations(rig.gateway.store, 1) == []
 
 
 def test_one_stopped_past_its_lease_counts_as_out_and_does_no_work_on_the_old_grant(started: Starter) -> None:
