--- a/pearloom/fakes/fleet/__init__.py
+++ b/pearloom/fakes/fleet/__init__.py
@@ -1,8 +1,18 @@
 """The fleet rig: several real softswitch processes, all that surrounds them, and faults between any two."""
 
-from pearloom.fakes.fleet.history import broken_rules, slot_violations
+from pearloom.fakes.fleet.history import rule_violations, slot_violations
 from pearloom.fakes.fleet.proxy import LinkFaults, Proxy
 from pearloom.fakes.fleet.rig import Node, Rig
 from pearloom.fakes.fleet.script import Fault, Step, play
 
-__all__ = ["Fault", "Node", "Proxy", "Rig", "Step", "LinkFaults", "broken_rules", "slot_violations", "play"]
+__all__ = [
+    "Fault",
+    "Node",
+    "Proxy",
+    "Rig",
+    "Step",
+    "LinkFaults",
+    "rule_violations",
+    "slot_violations",
+    "play",
+]
--- a/pearloom/fakes/fleet/history.py
+++ b/pearloom/fakes/fleet/history.py
@@ -47,7 +47,7 @@
     return found
 
 
-def broken_rules(store: KeyValueStore) -> list[str]:
+def rule_violations(store: KeyValueStore) -> list[str]:
     """Each break of an invariant of the rules' head, in a line.
 
     Heads only grow, by one entry of the log each; a halted rollout never widens; a stage contains the one
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 
-from pearloom.fakes.fleet import Fault, Rig, Step, broken_rules, play
+from pearloom.fakes.fleet import Fault, Rig, Step, play, rule_violations
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Faults, ServerProfile
 
@@ -65,7 +65,7 @@
 def judged(rig: Rig) -> None:
     """No rule of the platform is broken, and the history is one."""
     rig.settle()
-    assert broken_rules(rig.gateway.store) == []
+    assert rule_violations(rig.gateway.store) == []
     assert [f"{one.rule}: {one.detail}" for one in rig.report().violations] == []
 
 
@@ -264,7 +264,7 @@
     standing = [one for one in rig.journal.entries if one.kind is EntryKind.ESTABLISHED]
     assert standing[-1].at_ms > standing[0].at_ms + 5_000, "the other servers take the calls again"
     rig.settle(25.0)
-    assert broken_rules(rig.gateway.store) == []
+    assert rule_violations(rig.gateway.store) == []
 
 
 def _set_ups(rig: Rig, server: str) -> int:
