--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -16,7 +16,7 @@
 
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.stage import Testbed
 
 PAIRS = (("binary", "sip"), ("binary", "iax2"), ("iax2", "sip"), ("iax2", "iax2"))
 STEADY = ServerProfile(delay_ms=(5.0, 20.0), mean_hold_ms=500.0)
@@ -24,21 +24,21 @@
 TICK = os.sysconf("SC_CLK_TCK")
 
 
-def _stage(pair: tuple[str, str], manner: ServerProfile, seed: int) -> Stage:
+def _stage(pair: tuple[str, str], manner: ServerProfile, seed: int) -> Testbed:
     servers = (manner, manner)
-    stage = Stage(seed, sip=servers if pair[1] == "sip" else (), iax2=servers if pair[1] == "iax2" else ())
+    stage = Testbed(seed, sip=servers if pair[1] == "sip" else (), iax2=servers if pair[1] == "iax2" else ())
     stage.start()
     stage.add_callers(binary=4 if pair[0] == "binary" else 0, iax2=4 if pair[0] == "iax2" else 0)
     return stage
 
 
-def _cpu_s(stage: Stage) -> float:
+def _cpu_s(stage: Testbed) -> float:
     assert stage.process is not None
     fields = Path(f"/proc/{stage.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICK
 
 
-def _memory_kb(stage: Stage) -> float:
+def _memory_kb(stage: Testbed) -> float:
     assert stage.process is not None
     return (
         int(Path(f"/proc/{stage.process.pid}/statm").read_text().split()[1])
--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -23,10 +23,10 @@
 
     Prints how calls ended by class and protocols, and the rules that were broken; exit code 1 if any was.
     """
-    from pearloom.fakes.stage import Stage
+    from pearloom.fakes.stage import Testbed
 
     console = Console()
-    stage = Stage(seed)
+    stage = Testbed(seed)
     try:
         stage.start()
         stage.add_callers(binary=3, iax2=3)
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -72,7 +72,7 @@
     )
 
 
-class Stage:
+class Testbed:
     """Sets the scene, plays calls, and checks what was recorded."""
 
     def __init__(
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -7,14 +7,14 @@
 
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.stage import Testbed
 
 SHORT = ServerProfile(mean_hold_ms=400.0)
 LONG = ServerProfile(mean_hold_ms=60_000.0)
 
 
 @contextmanager
-def played(stage: Stage, binary: int = 1, iax2: int = 1) -> Iterator[Stage]:
+def played(stage: Testbed, binary: int = 1, iax2: int = 1) -> Iterator[Testbed]:
     try:
         stage.start()
         stage.add_callers(binary, iax2)
@@ -25,17 +25,17 @@
     assert code == 0
 
 
-def count(stage: Stage, what: EntryKind, who: str = "") -> int:
+def count(stage: Testbed, what: EntryKind, who: str = "") -> int:
     return sum(one.kind is what and who in ("", one.party) for one in stage.journal.entries)
 
 
-def settled(stage: Stage, for_s: float = 20.0) -> None:
+def settled(stage: Testbed, for_s: float = 20.0) -> None:
     assert stage.settle(for_s)
     report = stage.report()
     assert not report.violations, report.violations[:10]
 
 
-def first_choice(stage: Stage, caller: int, choice: int, patience_ms: float) -> None:
+def first_choice(stage: Testbed, caller: int, choice: int, patience_ms: float) -> None:
     offer = stage.offer(patience_ms)
     offer.first_choice = choice
     stage.callers[caller].place(offer)
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -16,7 +16,7 @@
 from pearloom.fakes.callers import Iax2Caller
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.stage import Testbed
 from pearloom.iax2.frames import (
     Element,
     Elements,
@@ -34,7 +34,7 @@
 class Plain:
     """A caller that says only what RFC 5456 asks of it, frame by frame."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Testbed) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.connect(stage.iax2_at)
         self.sock.settimeout(4.0)
@@ -60,7 +60,7 @@
 
 def test_a_plain_caller_is_served_and_a_late_copy_of_its_new_is_no_second_set_up() -> None:
     slow = ServerProfile(delay_ms=(300.0, 300.0), mean_hold_ms=60_000.0)
-    with played(Stage(19, sip=(), iax2=(slow,))) as stage:
+    with played(Testbed(19, sip=(), iax2=(slow,))) as stage:
         plain = Plain(stage)
         new = plain.new(plain.token())
         plain.sock.send(new)
@@ -80,7 +80,7 @@
 
 
 def test_the_time_that_a_token_took_is_taken_off_the_patience() -> None:
-    with played(Stage(20, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
+    with played(Testbed(20, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
         plain = Plain(stage)
         began = time.time()
         token = plain.token()
@@ -91,7 +91,7 @@
 
 
 def test_voice_passes_between_iax2_legs_and_is_counted_where_it_can_not() -> None:
-    with played(Stage(9, sip=(LONG,), iax2=(LONG,)), binary=0) as stage:
+    with played(Testbed(9, sip=(LONG,), iax2=(LONG,)), binary=0) as stage:
         caller = stage.callers[0]
         assert isinstance(caller, Iax2Caller)
         offers = [stage.offer(), stage.offer()]
@@ -110,7 +110,7 @@
 
 def test_call_numbers_that_run_out_are_not_used_again_and_their_calls_go_elsewhere() -> None:
     """A trunk with four numbers: each rests after its leg, and what has no number never ran."""
-    with played(Stage(16, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=100.0),), numbers=4)) as stage:
+    with played(Testbed(16, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=100.0),), numbers=4)) as stage:
         for number in range(20):
             first_choice(stage, number % 2, 1, patience_ms=4_000.0)
             gevent.sleep(0.05)
@@ -123,7 +123,7 @@
 
 
 def test_legs_beyond_the_limit_are_refused_with_a_time_to_come_back() -> None:
-    with played(Stage(10, sip=(LONG,), iax2=(), limits={"legs": 5}), binary=0) as stage:
+    with played(Testbed(10, sip=(LONG,), iax2=(), limits={"legs": 5}), binary=0) as stage:
         for _ in range(8):
             stage.callers[0].place(stage.offer())
         gevent.sleep(1.0)
@@ -132,7 +132,7 @@
 
 def test_legs_that_never_say_who_they_are_go_in_time_and_make_room() -> None:
     limits = {"half_open": 3, "half_open_ms": 300}
-    with played(Stage(11, sip=(SHORT,), iax2=(), secret="kept between", limits=limits), binary=0) as stage:
+    with played(Testbed(11, sip=(SHORT,), iax2=(), secret="kept between", limits=limits), binary=0) as stage:
         mute = Iax2Caller(stage.journal, "iax-caller", stage.iax2_at, 500, None, "kept between", "127.0.0.2")
         mute._event = lambda leg, event: None  # type: ignore[method-assign]
         mute._datagram = _only_tokens(mute)  # type: ignore[method-assign]
@@ -188,7 +188,7 @@
     new = encode_full(Full(7, 0, 1, 0, 0, Type.IAX, Iax.NEW, Elements([
         (Element.VERSION, b"\x00\x02"), (Element.CALLED_NUMBER, b"123"), (Element.CALLTOKEN, b""),
     ]).encode()))  # fmt: skip
-    with played(Stage(12, sip=(SHORT, SHORT), iax2=(SHORT, SHORT)), binary=1, iax2=2) as stage:
+    with played(Testbed(12, sip=(SHORT, SHORT), iax2=(SHORT, SHORT)), binary=1, iax2=2) as stage:
         assert stage.process is not None
         before = _memory_mb(stage.process.pid)
         flood = subprocess.Popen(
@@ -215,7 +215,7 @@
 
 def test_an_answer_under_another_leg_s_number_is_not_taken() -> None:
     """A peer that knows one leg's number can't speak for it: the socket hears its server alone."""
-    with played(Stage(13, sip=(), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
+    with played(Testbed(13, sip=(), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
         stage.callers[0].place(stage.offer(patience_ms=1_500.0))
         gevent.sleep(0.3)
         (leg,) = stage.iax2[0]._legs.values()
@@ -230,7 +230,7 @@
 
 
 def test_noise_on_a_trunk_spoils_nothing() -> None:
-    with played(Stage(14, sip=(), iax2=(SHORT,))) as stage:
+    with played(Testbed(14, sip=(), iax2=(SHORT,))) as stage:
         stage.callers[0].place(stage.offer())
         gevent.sleep(0.3)
         random = Random(1)
@@ -260,7 +260,7 @@
 
 @pytest.mark.parametrize("text", ["iax2: {", "iax2: listne: 1", "other: {}"])
 def test_a_file_that_can_not_be_used_is_one_plain_line(text: str) -> None:
-    stage = Stage(15, sip=(), iax2=())
+    stage = Testbed(15, sip=(), iax2=())
     stage.records = lambda: text  # type: ignore[method-assign]
     try:
         with pytest.raises(RuntimeError, match=r"pearloom: \S+pearloom\.cue:1: "):
@@ -272,7 +272,7 @@
 
 
 def test_an_answer_without_a_description_is_not_passed_on() -> None:
-    with played(Stage(21, sip=(SHORT,), iax2=(SHORT,))) as stage:
+    with played(Testbed(21, sip=(SHORT,), iax2=(SHORT,))) as stage:
         stage.iax2[0].nameless = True
         first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -9,7 +9,7 @@
 
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Faults, ServerProfile
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.stage import Testbed
 from pearloom.iax2.frames import (
     Iax,
     Type,
@@ -19,7 +19,7 @@
 
 def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_hears_its_end() -> None:
     """The module leaves an attempt the time that the caller has, as with a mute server over SIP."""
-    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
+    with played(Testbed(3, sip=(SHORT,), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
         first_choice(stage, 0, 1, patience_ms=2_000.0)
         settled(stage)
         assert count(stage, EntryKind.FAILED) == 1
@@ -27,7 +27,7 @@
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
-    with played(Stage(3, sip=(SHORT,), iax2=(ServerProfile(ignored_share=1.0),))) as stage:
+    with played(Testbed(3, sip=(SHORT,), iax2=(ServerProfile(ignored_share=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 1, patience_ms=7_000.0)
         settled(stage)
@@ -35,7 +35,7 @@
 
 
 def test_a_repeated_new_for_a_server_that_drained_is_new_work_and_does_not_leave() -> None:
-    with played(Stage(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
+    with played(Testbed(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
         server = stage.iax2[0]
         server.deaf_to.add(Iax.NEW)  # the first one is lost
         first_choice(stage, 0, 1, patience_ms=6_000.0)
@@ -49,7 +49,8 @@
 def test_a_lost_acknowledgement_is_no_proof() -> None:
     """All that the server says is lost: its set-up runs, and the call waits out the pause before the next."""
     with played(
-        Stage(5, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=400.0, delay_ms=(5_000.0, 5_000.0)),)), iax2=0
+        Testbed(5, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=400.0, delay_ms=(5_000.0, 5_000.0)),)),
+        iax2=0,
     ) as stage:
         server = stage.iax2[0]
         server._asks_token = False
@@ -61,7 +62,7 @@
 
 def test_an_answer_after_the_caller_gave_up_stands_for_nobody() -> None:
     late = ServerProfile(delay_ms=(900.0, 900.0), mean_hold_ms=60_000.0)
-    with played(Stage(6, sip=(), iax2=(late,))) as stage:
+    with played(Testbed(6, sip=(), iax2=(late,))) as stage:
         for caller in stage.callers:
             caller.place(stage.offer(patience_ms=880.0))
         gevent.sleep(1.5)
@@ -71,7 +72,7 @@
 
 @pytest.mark.parametrize("how", ["restarts", "ends", "vanishes"])
 def test_a_server_that_loses_its_calls_has_them_released_within_8_s(how: str) -> None:
-    with played(Stage(7, sip=(), iax2=(LONG,))) as stage:
+    with played(Testbed(7, sip=(), iax2=(LONG,))) as stage:
         for number in range(40):
             stage.callers[number % 2].place(stage.offer())
         until = time.time() + 3.0  # the callers' patience
@@ -95,7 +96,7 @@
 
 
 def test_standing_calls_at_a_server_that_lives_are_kept() -> None:
-    with played(Stage(8, sip=(), iax2=(LONG,))) as stage:
+    with played(Testbed(8, sip=(), iax2=(LONG,))) as stage:
         for caller in stage.callers:
             caller.place(stage.offer())
         gevent.sleep(9.0)
@@ -104,7 +105,7 @@
 
 
 def test_a_server_that_vanishes_with_a_set_up_out_delays_no_final_answer() -> None:
-    with played(Stage(17, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
+    with played(Testbed(17, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
         for caller in (0, 1):
             first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
@@ -121,7 +122,7 @@
 def test_no_second_attempt_while_lost_hang_ups_leave_the_first_at_work() -> None:
     """HANGUPs reach the server only 450 ms late: the next attempt waits for the proof, then for the pause."""
     quick = ServerProfile(delay_ms=(5.0, 10.0), mean_hold_ms=300.0, unanswered_share=0.15)
-    with played(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
+    with played(Testbed(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
         server, first = stage.iax2[0], dict[object, float]()
         whole = server._datagram
 
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -8,14 +8,14 @@
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.rules import Report
 from pearloom.fakes.script import Faults, ServerProfile
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.stage import Testbed
 
 ROUGH = Faults(loss_share=0.05, duplicate_share=0.05, delay_share=0.05)
 SHORT = ServerProfile(mean_hold_ms=700.0)
 
 
 @contextmanager
-def played(stage: Stage) -> Iterator[Stage]:
+def played(stage: Testbed) -> Iterator[Testbed]:
     try:
         stage.start()
         yield stage
@@ -32,7 +32,7 @@
         mean_hold_ms=700.0, refused_share=0.05, causes=(42, 34, 17, 38, 41), unanswered_share=0.02
     )
     with played(
-        Stage(7, sip=(troubled, SHORT), iax2=(troubled, SHORT), faults=ROUGH, secret="kept between")
+        Testbed(7, sip=(troubled, SHORT), iax2=(troubled, SHORT), faults=ROUGH, secret="kept between")
     ) as stage:
         stage.add_callers(binary=2, iax2=4)
         stage.play(150, 7)
