--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -35,7 +35,7 @@
 from pearloom.fakes.rules import Report, check
 from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.sip_server import SipServer
-from pearloom.fakes.stage import CLASSES, SETTINGS, START_S, draw_offer, free_port
+from pearloom.fakes.stage import CLASSES, SETTINGS, START_S, draw_set_up, free_port
 
 ZONES = ("amsterdam", "dublin")
 DRIFTED = (
@@ -318,7 +318,7 @@
     def _offer(self) -> SetUpRequest:
         self._calls += 1
         described = f"caller {self._calls}".encode()
-        return draw_offer(self.random, self.seed, self._calls, len(self.all_servers), 3_000.0, described)
+        return draw_set_up(self.random, self.seed, self._calls, len(self.all_servers), 3_000.0, described)
 
     def settle(self, most_s: float = 15.0) -> None:
         """Wait until nothing stands or is open."""
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -56,7 +56,7 @@
             return port
 
 
-def draw_offer(
+def draw_set_up(
     random: Random, seed: int, number: int, servers: int, patience_ms: float, description: bytes
 ) -> SetUpRequest:
     """Call `number` of the run with this seed: its class, what it dials and its first choice are drawn."""
@@ -189,7 +189,7 @@
     def offer(self, patience_ms: float = 3_000.0, description_bytes: int = 80) -> SetUpRequest:
         """The next call, drawn."""
         self._calls += 1
-        return draw_offer(
+        return draw_set_up(
             self.random, self.seed, self._calls, len(self.servers), patience_ms,
             f"caller {self._calls} ".encode().ljust(description_bytes, b"x"),
         )  # fmt: skip
