--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -186,7 +186,7 @@
                 )
             )
 
-    def offer(self, patience_ms: float = 3_000.0, description_bytes: int = 80) -> SetUpRequest:
+    def next_set_up(self, patience_ms: float = 3_000.0, description_bytes: int = 80) -> SetUpRequest:
         """The next call, drawn."""
         self._calls += 1
         return draw_set_up(
@@ -204,7 +204,7 @@
             caller = self.random.choice(self.callers)
             size = 700 if self.random.random() < 0.2 else 80
             holds = self.random.uniform(50.0, 1_500.0) if self.random.random() < leaves else float("inf")
-            caller.place(self.offer(patience_ms, size), holds)
+            caller.place(self.next_set_up(patience_ms, size), holds)
 
     def settle(self, for_s: float) -> bool:
         """Wait until nothing stands or is open at any fake, so long at most."""
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -36,6 +36,6 @@
 
 
 def first_choice(stage: Testbed, caller: int, choice: int, patience_ms: float) -> None:
-    offer = stage.offer(patience_ms)
+    offer = stage.next_set_up(patience_ms)
     offer.first_choice = choice
     stage.callers[caller].place(offer)
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -94,7 +94,7 @@
     with played(Testbed(9, sip=(LONG,), iax2=(LONG,)), binary=0) as stage:
         caller = stage.callers[0]
         assert isinstance(caller, Iax2Caller)
-        offers = [stage.offer(), stage.offer()]
+        offers = [stage.next_set_up(), stage.next_set_up()]
         for choice, offer in enumerate(offers):
             offer.first_choice = choice
             caller.place(offer)
@@ -125,7 +125,7 @@
 def test_legs_beyond_the_limit_are_refused_with_a_time_to_come_back() -> None:
     with played(Testbed(10, sip=(LONG,), iax2=(), limits={"legs": 5}), binary=0) as stage:
         for _ in range(8):
-            stage.callers[0].place(stage.offer())
+            stage.callers[0].place(stage.next_set_up())
         gevent.sleep(1.0)
         assert count(stage, EntryKind.ESTABLISHED) == 5 and count(stage, EntryKind.REFUSED) == 3
 
@@ -137,10 +137,10 @@
         mute._event = lambda leg, event: None  # type: ignore[method-assign]
         mute._datagram = _only_tokens(mute)  # type: ignore[method-assign]
         for _ in range(5):
-            mute.place(stage.offer(patience_ms=400.0))
+            mute.place(stage.next_set_up(patience_ms=400.0))
         gevent.sleep(1.0)
         assert stage.counters()["iax2_half_open_dropped"] >= 3
-        stage.callers[0].place(stage.offer())
+        stage.callers[0].place(stage.next_set_up())
         gevent.sleep(0.6)
         assert count(stage, EntryKind.ESTABLISHED) == 1
         mute.close()
@@ -216,7 +216,7 @@
 def test_an_answer_under_another_leg_s_number_is_not_taken() -> None:
     """A peer that knows one leg's number can't speak for it: the socket hears its server alone."""
     with played(Testbed(13, sip=(), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
-        stage.callers[0].place(stage.offer(patience_ms=1_500.0))
+        stage.callers[0].place(stage.next_set_up(patience_ms=1_500.0))
         gevent.sleep(0.3)
         (leg,) = stage.iax2[0]._legs.values()
         made = Elements(split_description(b"forged")).encode()
@@ -231,7 +231,7 @@
 
 def test_noise_on_a_trunk_spoils_nothing() -> None:
     with played(Testbed(14, sip=(), iax2=(SHORT,))) as stage:
-        stage.callers[0].place(stage.offer())
+        stage.callers[0].place(stage.next_set_up())
         gevent.sleep(0.3)
         random = Random(1)
         peer = next(iter(stage.iax2[0]._legs.values())).peer[0]
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -64,7 +64,7 @@
     late = ServerProfile(delay_ms=(900.0, 900.0), mean_hold_ms=60_000.0)
     with played(Testbed(6, sip=(), iax2=(late,))) as stage:
         for caller in stage.callers:
-            caller.place(stage.offer(patience_ms=880.0))
+            caller.place(stage.next_set_up(patience_ms=880.0))
         gevent.sleep(1.5)
         settled(stage)
         assert count(stage, EntryKind.ESTABLISHED) == 0 and stage.iax2[0].standing == 0
@@ -74,7 +74,7 @@
 def test_a_server_that_loses_its_calls_has_them_released_within_8_s(how: str) -> None:
     with played(Testbed(7, sip=(), iax2=(LONG,))) as stage:
         for number in range(40):
-            stage.callers[number % 2].place(stage.offer())
+            stage.callers[number % 2].place(stage.next_set_up())
         until = time.time() + 3.0  # the callers' patience
         while count(stage, EntryKind.ESTABLISHED) < 40 and time.time() < until:
             gevent.sleep(0.02)
@@ -98,7 +98,7 @@
 def test_standing_calls_at_a_server_that_lives_are_kept() -> None:
     with played(Testbed(8, sip=(), iax2=(LONG,))) as stage:
         for caller in stage.callers:
-            caller.place(stage.offer())
+            caller.place(stage.next_set_up())
         gevent.sleep(9.0)
         assert count(stage, EntryKind.ESTABLISHED) == 2 and count(stage, EntryKind.RELEASED) == 0
         assert stage.counters()["pings_out"] > 0
