--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -57,7 +57,7 @@
         ]  # fmt: skip
         return {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": True, "hosts": hosts}}]}
 
-    def tell(self, listed: Listed) -> None:
+    def announce(self, listed: Listed) -> None:
         """A server's state is another from now on."""
         self.servers[listed.server] = listed
         self._events.append((2, listed.record()))
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -222,7 +222,7 @@
 
     def _tell(self, server: SipServer | Iax2Server, state: str) -> None:
         cell = self.servers.index(server)
-        self.coordinator.tell(Listed(server.server, server.address, cell, state))
+        self.coordinator.announce(Listed(server.server, server.address, cell, state))
 
     def report(self, done: bool = True) -> Report:
         """What the rule checker finds."""
