--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -48,7 +48,7 @@
         self._peers: list[tuple[socket.socket, int]] = []
         self._accepting = gevent.spawn(self._accept)
 
-    def known(self) -> dict[str, object]:
+    def cached_list(self) -> dict[str, object]:
         """The list as a softswitch's configuration has it."""
         hosts = [
             {"host": one.server, "dial": "{}:{}".format(*one.address), "block": one.cell,
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -166,7 +166,7 @@
             "management": "{}:{}".format(*node.management),
             "seed": f"{self.random.randrange(1 << 32):x}",
             "coordinator": "{}:{}".format(*node.coordinator.address),
-            "known": self.coordinator.known(),
+            "known": self.coordinator.cached_list(),
             "limits": {"sockets": 1024, "memory_mb": 192},
             "settings": {**SETTINGS, "fleetSize": self.softswitches, "zones": list(ZONES)},
         }
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -128,7 +128,7 @@
             "management": "{}:{}".format(*self.management),
             "seed": f"{self.seed:x}",
             "coordinator": "{}:{}".format(*self.coordinator.address),
-            "known": self.coordinator.known(),
+            "known": self.coordinator.cached_list(),
             "limits": {"sockets": 1024, "memory_mb": 192},
             "settings": SETTINGS,
         }
