--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedServer:
     """One server as the coordinator knows it."""
 
     server: str
@@ -36,7 +36,7 @@
 class FakeCoordinator:
     """Tells every softswitch that connects of each change since the one it names."""
 
-    def __init__(self, journal: Journal, servers: list[Listed]) -> None:
+    def __init__(self, journal: Journal, servers: list[ListedServer]) -> None:
         """Listen; the first event is the list of these servers."""
         self._journal = journal
         self._events: list[tuple[int, bytes]] = [(1, b"".join(one.record() for one in servers))]
@@ -57,7 +57,7 @@
         ]  # fmt: skip
         return {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": True, "hosts": hosts}}]}
 
-    def announce(self, listed: Listed) -> None:
+    def announce(self, listed: ListedServer) -> None:
         """A server's state is another from now on."""
         self.servers[listed.server] = listed
         self._events.append((2, listed.record()))
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -26,7 +26,7 @@
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Address
 from pearloom.fakes.callers import BinaryCaller
-from pearloom.fakes.coordinator import FakeCoordinator, Listed
+from pearloom.fakes.coordinator import FakeCoordinator, ListedServer
 from pearloom.fakes.etcd import Gateway
 from pearloom.fakes.fleet.datagrams import DatagramProxy
 from pearloom.fakes.fleet.proxy import Proxy
@@ -126,7 +126,7 @@
         places += [
             (one.server, way.address) for one, way in zip(self.iax2, self.datagram_proxies, strict=True)
         ]
-        listed = [Listed(server, address, cell) for cell, (server, address) in enumerate(places)]
+        listed = [ListedServer(server, address, cell) for cell, (server, address) in enumerate(places)]
         self.coordinator = FakeCoordinator(self.journal, listed)
         self.nodes = {}
         for at in range(self.softswitches):
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -20,7 +20,7 @@
 from pearloom.core.calls import SetUpRequest
 from pearloom.core.config import Address
 from pearloom.fakes.callers import BinaryCaller, Iax2Caller
-from pearloom.fakes.coordinator import FakeCoordinator, Listed
+from pearloom.fakes.coordinator import FakeCoordinator, ListedServer
 from pearloom.fakes.iax2_server import Iax2Server
 from pearloom.fakes.journal import Journal
 from pearloom.fakes.rules import Report, check
@@ -96,7 +96,7 @@
             for n, one in enumerate(iax2)
         ]
         self.servers: list[SipServer | Iax2Server] = [*self.sip, *self.iax2]
-        listed = [Listed(one.server, one.address, cell) for cell, one in enumerate(self.servers)]
+        listed = [ListedServer(one.server, one.address, cell) for cell, one in enumerate(self.servers)]
         self.coordinator = FakeCoordinator(self.journal, listed)
         self.allowed = {name: [one.server for one in self.servers] for name in CLASSES}
         self.binary_at: Address = ("127.0.0.1", free_port())
@@ -222,7 +222,7 @@
 
     def _tell(self, server: SipServer | Iax2Server, state: str) -> None:
         cell = self.servers.index(server)
-        self.coordinator.announce(Listed(server.server, server.address, cell, state))
+        self.coordinator.announce(ListedServer(server.server, server.address, cell, state))
 
     def report(self, done: bool = True) -> Report:
         """What the rule checker finds."""
--- a/tests/fleet/test_maintenance.py
+++ b/tests/fleet/test_maintenance.py
@@ -9,7 +9,7 @@
 import gevent
 import pytest
 
-from pearloom.fakes.coordinator import Listed
+from pearloom.fakes.coordinator import ListedServer
 from pearloom.fakes.fleet import Fault, Rig, Step, play, slot_violations
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
@@ -256,7 +256,7 @@
     assert 'why="too little capacity would remain"' in rig.management_call("n2", "GET", "/v1/work")[1]
     dead = rig.session_servers[2]
     dead.die()
-    rig.coordinator.announce(Listed(dead.server, dead.address, 2, "draining"))
+    rig.coordinator.announce(ListedServer(dead.server, dead.address, 2, "draining"))
     assert rig.management_call("n3", "POST", f"/v1/work/{first}") == (200, "ok\n")
     rig.wait_until(lambda: rig.phase(first) == "done")
     gevent.sleep(1.0)
