--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -74,10 +74,10 @@
     try:
         stage.play(200, 1.0, leaves=0.0)
         gevent.sleep(1.0)
-        before, stood = _memory_kb(stage), sum(one.standing for one in stage.servers)
+        before, stood = _memory_kb(stage), sum(one.established_calls for one in stage.servers)
         stage.play(200, calls / 200, leaves=0.0)
         gevent.sleep(2.0)
-        return (_memory_kb(stage) - before) / (sum(one.standing for one in stage.servers) - stood)
+        return (_memory_kb(stage) - before) / (sum(one.established_calls for one in stage.servers) - stood)
     finally:
         stage.close()
 
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -323,7 +323,7 @@
     def settle(self, most_s: float = 15.0) -> None:
         """Wait until nothing stands or is open."""
         self.wait_until(
-            lambda: self._history().is_quiet and not any(one.standing for one in self.all_servers),
+            lambda: self._history().is_quiet and not any(one.established_calls for one in self.all_servers),
             most_s,
         )
         gevent.sleep(0.3)
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -48,7 +48,7 @@
         self._accepting = gevent.spawn(self._accept)
 
     @property
-    def standing(self) -> int:
+    def established_calls(self) -> int:
         """Calls that stand."""
         return sum(held.stands for held in self._calls.values())
 
--- a/pearloom/fakes/stage.py
+++ b/pearloom/fakes/stage.py
@@ -210,7 +210,7 @@
         """Wait until nothing stands or is open at any fake, so long at most."""
         until = time.time() + for_s
         while time.time() < until:
-            if self.journal.is_quiet and not any(one.standing for one in self.servers):
+            if self.journal.is_quiet and not any(one.established_calls for one in self.servers):
                 gevent.sleep(0.3)
                 return True
             gevent.sleep(0.1)
