--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -87,7 +87,7 @@
         return sock
 
     @property
-    def standing(self) -> int:
+    def established_calls(self) -> int:
         """Calls that stand."""
         return sum(leg.stands for leg in self._legs.values())
 
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -75,7 +75,7 @@
         for _ in range(3):
             plain.sock.send(new)
         gevent.sleep(0.3)
-        assert count(stage, EntryKind.SET_UP) == 1 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.SET_UP) == 1 and stage.iax2[0].established_calls == 0
         assert stage.counters()["iax2_late_new"] == 3
 
 
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -67,7 +67,7 @@
             caller.place(stage.next_set_up(patience_ms=880.0))
         gevent.sleep(1.5)
         settled(stage)
-        assert count(stage, EntryKind.ESTABLISHED) == 0 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 0 and stage.iax2[0].established_calls == 0
 
 
 @pytest.mark.parametrize("how", ["restarts", "ends", "vanishes"])
