--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -35,7 +35,7 @@
 
     def __init__(self, journal: Journal, server: str, manner: ServerProfile, seed: int) -> None:
         """Listen on loopback."""
-        self._journal, self.server, self.manner = journal, server, manner
+        self._journal, self.server, self.profile = journal, server, manner
         self._made = 0
         self._random = Random(seed)
         self._calls: dict[str, _Held] = {}
@@ -98,7 +98,7 @@
             request.number,
         )
         held = self._calls[call] = _Held(request, sock, request.headers.get("cseq", ""))
-        act = self.manner.draw(self._random)
+        act = self.profile.draw(self._random)
         if act.behaviour not in (Behaviour.NO_ANSWER, Behaviour.IGNORE):
             gevent.spawn_later(act.delay_ms / 1000.0, self._act, call, held, act)
 
@@ -114,7 +114,7 @@
             )
             return
         self._made += 1  # no two answers are alike, so that one can be told from the other
-        made = f"{self.server} {call} {self._made} ".encode().ljust(self.manner.description_bytes, b".")
+        made = f"{self.server} {call} {self._made} ".encode().ljust(self.profile.description_bytes, b".")
         held.stands = True
         spoilt = act.behaviour is Behaviour.MALFORMED
         if not spoilt:
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -109,7 +109,7 @@
 def test_the_same_failing_on_all_softswitches_halts_nothing(started: Starter) -> None:
     rig = started(33)
     for server in rig.session_servers:
-        server.manner = ServerProfile(mean_hold_ms=400.0, unanswered_share=0.04)
+        server.profile = ServerProfile(mean_hold_ms=400.0, unanswered_share=0.04)
     calling = gevent.spawn(rig.play, 80.0, 9.0)
     rig.propose("n2", OTHER, 0)
     rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: shown(rig, "n1"))
