--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -60,7 +60,7 @@
         asks_token: bool = True,
     ) -> None:
         """Listen on loopback."""
-        self._journal, self.server, self.manner = journal, server, manner
+        self._journal, self.server, self.profile = journal, server, manner
         self._made = 0
         self._random, self._secret, self._asks_token = Random(seed), secret, asks_token
         self._in, self._out = LossyPath(faults or Faults(), seed + 1), LossyPath(faults or Faults(), seed + 2)
@@ -135,7 +135,7 @@
             asked = Elements([(Element.CALLTOKEN, made)]).encode()
             self._send(answer_without_leg(frame, Iax.CALLTOKEN, asked), source)
             return
-        act = self.manner.draw(self._random)
+        act = self.profile.draw(self._random)
         if act.behaviour is Behaviour.IGNORE:
             return
         self._next = self._next % 32_000 + 1
@@ -205,7 +205,7 @@
         else:
             self._made += 1  # no two answers are alike, so that one can be told from the other
             made = f"{self.server} {leg.call} {self._made} ".encode().ljust(
-                self.manner.description_bytes, b"."
+                self.profile.description_bytes, b"."
             )
             elements = answer_elements(made)
             if leg.act.behaviour is Behaviour.MALFORMED or self.nameless:
