--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -70,7 +70,7 @@
         self._next = 1 + self._random.randrange(30_000)
         self.silent = False  # takes nothing and says nothing, while its socket stays
         self.nameless = False  # answers tell nothing of where the call is
-        self.spoken = 0  # pieces of voice that came
+        self.voice_received = 0  # pieces of voice that came
         self.deaf_to: set[Iax] = set()  # frames that are lost on their way here, whatever the faults
         self._sock = self._bind(("127.0.0.1", 0))
         self.address: Address = self._sock.getsockname()
@@ -174,7 +174,7 @@
                 )
                 leg.stands = False
             case Heard(media):
-                self.spoken += 1
+                self.voice_received += 1
                 leg.say(media, self._now())  # an echo
             case Over():
                 self._spent[leg.key] = self._now()
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -104,7 +104,9 @@
                 caller.say(offer.call, number * 20, bytes(160))
             gevent.sleep(0.002)
         gevent.sleep(0.3)
-        assert stage.iax2[0].spoken == caller.spoken == 50, "all reached the server, and its echo the caller"
+        assert (
+            stage.iax2[0].voice_received == caller.spoken == 50
+        ), "all reached the server, and its echo the caller"
         assert stage.counters()["media_dropped"] == 50
 
 
