--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -69,7 +69,7 @@
         self._spent: dict[tuple[bytes, int], float] = {}
         self._next = 1 + self._random.randrange(30_000)
         self.silent = False  # takes nothing and says nothing, while its socket stays
-        self.nameless = False  # answers tell nothing of where the call is
+        self.omits_call_id = False  # answers tell nothing of where the call is
         self.voice_received = 0  # pieces of voice that came
         self.deaf_to: set[Iax] = set()  # frames that are lost on their way here, whatever the faults
         self._sock = self._bind(("127.0.0.1", 0))
@@ -208,8 +208,8 @@
                 self.profile.description_bytes, b"."
             )
             elements = answer_elements(made)
-            if leg.act.behaviour is Behaviour.MALFORMED or self.nameless:
-                elements = [] if self.nameless else elements[1:] or [(Element.DESCRIPTION, b"\x07x")]
+            if leg.act.behaviour is Behaviour.MALFORMED or self.omits_call_id:
+                elements = [] if self.omits_call_id else elements[1:] or [(Element.DESCRIPTION, b"\x07x")]
                 self._journal.add(EntryKind.DECLINED, self.server, leg.call)
             else:
                 leg.stands = True
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -275,7 +275,7 @@
 
 def test_an_answer_without_a_description_is_not_passed_on() -> None:
     with played(Testbed(21, sip=(SHORT,), iax2=(SHORT,))) as stage:
-        stage.iax2[0].nameless = True
+        stage.iax2[0].omits_call_id = True
         first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
         stood = [one for one in stage.journal.entries if one.kind is EntryKind.ESTABLISHED]
