--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -71,7 +71,7 @@
         self.silent = False  # takes nothing and says nothing, while its socket stays
         self.omits_call_id = False  # answers tell nothing of where the call is
         self.voice_received = 0  # pieces of voice that came
-        self.deaf_to: set[Iax] = set()  # frames that are lost on their way here, whatever the faults
+        self.ignored_frames: set[Iax] = set()  # frames that are lost on their way here, whatever the faults
         self._sock = self._bind(("127.0.0.1", 0))
         self.address: Address = self._sock.getsockname()
         self._running: list[gevent.Greenlet[..., None]] = [
@@ -110,7 +110,7 @@
             return
         for frame in frames:
             leg = self._legs.get((source, frame.source))
-            if isinstance(frame, Full) and any(frame.is_iax(kind) for kind in self.deaf_to):
+            if isinstance(frame, Full) and any(frame.is_iax(kind) for kind in self.ignored_frames):
                 continue
             if isinstance(frame, Full) and frame.is_iax(Iax.NEW):
                 self._new(frame, source, leg)
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -37,11 +37,11 @@
 def test_a_repeated_new_for_a_server_that_drained_is_new_work_and_does_not_leave() -> None:
     with played(Testbed(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
         server = stage.iax2[0]
-        server.deaf_to.add(Iax.NEW)  # the first one is lost
+        server.ignored_frames.add(Iax.NEW)  # the first one is lost
         first_choice(stage, 0, 1, patience_ms=6_000.0)
         gevent.sleep(0.05)
         stage.drain(server)
-        server.deaf_to.clear()
+        server.ignored_frames.clear()
         settled(stage)
         assert count(stage, EntryKind.SET_UP, server.server) == 0 and count(stage, EntryKind.ESTABLISHED) == 1
 
