--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -167,7 +167,7 @@
         self._numbers = CallNumbers(1 + seed * 7919 % 30_000)
         self._legs: dict[int, _CallerLeg] = {}
         self._by_call: dict[str, _CallerLeg] = {}
-        self.spoken = 0  # pieces of voice that came
+        self.voice_received = 0  # pieces of voice that came
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 21)
         self._sock.bind((host, 0))
@@ -233,7 +233,7 @@
                 self._journal.add(EntryKind.RELEASED, self.name, leg.call)
                 leg.stands = False
             case Heard():
-                self.spoken += 1
+                self.voice_received += 1
             case Over():
                 self._legs.pop(leg.source, None)
                 self._by_call.pop(leg.call, None)
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -105,7 +105,7 @@
             gevent.sleep(0.002)
         gevent.sleep(0.3)
         assert (
-            stage.iax2[0].voice_received == caller.spoken == 50
+            stage.iax2[0].voice_received == caller.voice_received == 50
         ), "all reached the server, and its echo the caller"
         assert stage.counters()["media_dropped"] == 50
 
