--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -190,7 +190,7 @@
         if holds_ms < math.inf:
             gevent.spawn_later(holds_ms / 1000.0, self._leave, leg)
 
-    def say(self, call: str, stamp_ms: int, payload: bytes) -> None:
+    def send_voice(self, call: str, stamp_ms: int, payload: bytes) -> None:
         """Say something in a call that stands."""
         leg = self._by_call.get(call)
         if leg is not None and leg.stands:
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -101,7 +101,7 @@
         gevent.sleep(0.5)
         for number in range(50):
             for offer in offers:
-                caller.say(offer.call, number * 20, bytes(160))
+                caller.send_voice(offer.call, number * 20, bytes(160))
             gevent.sleep(0.002)
         gevent.sleep(0.3)
         assert (
