--- a/pearloom/fakes/etcd/gateway.py
+++ b/pearloom/fakes/etcd/gateway.py
@@ -20,7 +20,7 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
 from pearloom.core.config import Address
-from pearloom.fakes.etcd.store import Change, Compacted, Held, KeyValueStore, NotFound
+from pearloom.fakes.etcd.store import Change, Compacted, KeyValue, KeyValueStore, NotFound
 
 _BYTES = ("key", "range_end", "value")
 _NUMBERS = ("lease", "create_revision", "mod_revision", "version", "ID", "TTL", "start_revision", "revision")
@@ -72,7 +72,7 @@
     return b64encode(value).decode("ascii")
 
 
-def _held(held: Held) -> dict[str, Any]:
+def _held(held: KeyValue) -> dict[str, Any]:
     """A key-value of an answer; proto3 leaves out what is 0 or empty."""
     told: dict[str, Any] = {"key": _text(held.key), "mod_revision": str(held.mod)}
     if held.version:
@@ -227,7 +227,7 @@
                 return None
         return {"header": self._header(), **told_more}
 
-    def _range(self, found: list[Held]) -> dict[str, Any]:
+    def _range(self, found: list[KeyValue]) -> dict[str, Any]:
         return {"kvs": [_held(one) for one in found], "count": str(len(found))} if found else {}
 
     def _transact(self, told: dict[str, Any]) -> dict[str, Any]:
--- a/pearloom/fakes/etcd/store.py
+++ b/pearloom/fakes/etcd/store.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class KeyValue:
     """One key's value and where it stands in history."""
 
     key: bytes
@@ -38,7 +38,7 @@
 class Change:
     """One event: a key was put, or deleted (`held` is then without value, its `mod` the deletion's)."""
 
-    held: Held
+    held: KeyValue
     deleted: bool = False
 
 
@@ -49,7 +49,7 @@
     keys: set[bytes] = field(default_factory=set)
 
 
-_FIELDS: Mapping[str, tuple[str, Callable[[Held], Any]]] = {
+_FIELDS: Mapping[str, tuple[str, Callable[[KeyValue], Any]]] = {
     # target -> the field of the compare that holds its value, and what it is compared with
     "VERSION": ("version", lambda held: held.version),
     "CREATE": ("create_revision", lambda held: held.create),
@@ -80,7 +80,7 @@
         self.cluster = cluster
         self.revision = 1
         self.compacted = 0
-        self._held: dict[bytes, Held] = {}
+        self._held: dict[bytes, KeyValue] = {}
         self._history: list[Change] = []  # in order of revision
         self._leases: dict[int, _Lease] = {}
         self._next_lease = 7587 << 40
@@ -130,7 +130,7 @@
                 self._drop(key)
 
     # --- keys -----------------------------------------------------------------------------------------------
-    def range(self, start: bytes, end: bytes = b"") -> list[Held]:
+    def range(self, start: bytes, end: bytes = b"") -> list[KeyValue]:
         """What is there now, by key."""
         return [held for key, held in sorted(self._held.items()) if in_range(key, start, end)]
 
@@ -157,7 +157,7 @@
         if held is None and name == "value":
             return False
         told = compare.get(name, b"" if name == "value" else 0)
-        there = read(held or Held(compare["key"], b"", 0, 0, 0))
+        there = read(held or KeyValue(compare["key"], b"", 0, 0, 0))
         return _RESULTS[str(compare.get("result", "EQUAL"))](there, told)
 
     def transact(
@@ -202,7 +202,7 @@
         if lease:
             self._leases[lease].keys.add(key)
         create = old.create if old else self.revision
-        held = Held(key, value, create, self.revision, old.version + 1 if old else 1, lease)
+        held = KeyValue(key, value, create, self.revision, old.version + 1 if old else 1, lease)
         self._held[key] = held
         self._history.append(Change(held))
 
