--- a/pearloom/fakes/etcd/gateway.py
+++ b/pearloom/fakes/etcd/gateway.py
@@ -74,7 +74,7 @@
 
 def _held(held: KeyValue) -> dict[str, Any]:
     """A key-value of an answer; proto3 leaves out what is 0 or empty."""
-    told: dict[str, Any] = {"key": _text(held.key), "mod_revision": str(held.mod)}
+    told: dict[str, Any] = {"key": _text(held.key), "mod_revision": str(held.mod_revision)}
     if held.version:
         told |= {
             "create_revision": str(held.create),
--- a/pearloom/fakes/etcd/store.py
+++ b/pearloom/fakes/etcd/store.py
@@ -29,7 +29,7 @@
     key: bytes
     value: bytes
     create: int
-    mod: int
+    mod_revision: int
     version: int
     lease: int = 0
 
@@ -53,7 +53,7 @@
     # target -> the field of the compare that holds its value, and what it is compared with
     "VERSION": ("version", lambda held: held.version),
     "CREATE": ("create_revision", lambda held: held.create),
-    "MOD": ("mod_revision", lambda held: held.mod),
+    "MOD": ("mod_revision", lambda held: held.mod_revision),
     "VALUE": ("value", lambda held: held.value),
     "LEASE": ("lease", lambda held: held.lease),
 }
@@ -221,7 +221,7 @@
         return [
             change
             for change in self._history
-            if change.held.mod >= revision and in_range(change.held.key, start, end)
+            if change.held.mod_revision >= revision and in_range(change.held.key, start, end)
         ]
 
     def compact(self, revision: int) -> None:
@@ -229,7 +229,7 @@
         if not self.compacted < revision <= self.revision:
             raise ValueError("etcdserver: mvcc: required revision is out of reach")
         self.compacted = revision
-        self._history = [change for change in self._history if change.held.mod > revision]
+        self._history = [change for change in self._history if change.held.mod_revision > revision]
 
     # --- faults ---------------------------------------------------------------------------------------------
     def save(self) -> None:
--- a/pearloom/fakes/fleet/history.py
+++ b/pearloom/fakes/fleet/history.py
@@ -37,13 +37,13 @@
             after = str(slots[name]["phase"])
         if after not in MAY_FOLLOW[before]:
             found.append(
-                f"{change.held.mod}: turn {name} went from {before or 'nothing'} to {after or 'nothing'}"
+                f"{change.held.mod_revision}: turn {name} went from {before or 'nothing'} to {after or 'nothing'}"
             )
         out = [slot["machine"] for slot in slots.values() if slot["phase"] in OUT]
         if len(out) > most_out:
-            found.append(f"{change.held.mod}: {out} are out, {most_out} may be")
+            found.append(f"{change.held.mod_revision}: {out} are out, {most_out} may be")
         if len(set(out)) < len(out):
-            found.append(f"{change.held.mod}: a machine is out on two turns at once: {out}")
+            found.append(f"{change.held.mod_revision}: a machine is out on two turns at once: {out}")
     return found
 
 
@@ -62,17 +62,17 @@
         if key.startswith("log/"):
             entry = json.loads(change.held.value)
             if logged.setdefault(entry["number"], entry["tag"]) != entry["tag"]:
-                found.append(f"{change.held.mod}: two entries have the number {entry['number']}")
+                found.append(f"{change.held.mod_revision}: two entries have the number {entry['number']}")
         if key != "head":
             continue
         head = json.loads(change.held.value)
         if head["number"] <= before["number"]:
-            found.append(f"{change.held.mod}: head {head['number']} after {before['number']}")
+            found.append(f"{change.held.mod_revision}: head {head['number']} after {before['number']}")
         old, new = before["rollout"], head["rollout"]
         if old and new and old["id"] == new["id"]:
             if old["halted"] and (new["stage"] > old["stage"] or not new["halted"]):
-                found.append(f"{change.held.mod}: rollout {new['id']} went on after it was halted")
+                found.append(f"{change.held.mod_revision}: rollout {new['id']} went on after it was halted")
             if not set(old["members"]) <= set(new["members"]):
-                found.append(f"{change.held.mod}: a stage of rollout {new['id']} lost softswitches")
+                found.append(f"{change.held.mod_revision}: a stage of rollout {new['id']} lost softswitches")
         before = head
     return found
