--- a/pearloom/fakes/etcd/gateway.py
+++ b/pearloom/fakes/etcd/gateway.py
@@ -77,7 +77,7 @@
     told: dict[str, Any] = {"key": _text(held.key), "mod_revision": str(held.mod_revision)}
     if held.version:
         told |= {
-            "create_revision": str(held.create),
+            "create_revision": str(held.create_revision),
             "version": str(held.version),
             "value": _text(held.value),
         }
--- a/pearloom/fakes/etcd/store.py
+++ b/pearloom/fakes/etcd/store.py
@@ -28,7 +28,7 @@
 
     key: bytes
     value: bytes
-    create: int
+    create_revision: int
     mod_revision: int
     version: int
     lease: int = 0
@@ -52,7 +52,7 @@
 _FIELDS: Mapping[str, tuple[str, Callable[[KeyValue], Any]]] = {
     # target -> the field of the compare that holds its value, and what it is compared with
     "VERSION": ("version", lambda held: held.version),
-    "CREATE": ("create_revision", lambda held: held.create),
+    "CREATE": ("create_revision", lambda held: held.create_revision),
     "MOD": ("mod_revision", lambda held: held.mod_revision),
     "VALUE": ("value", lambda held: held.value),
     "LEASE": ("lease", lambda held: held.lease),
@@ -201,7 +201,7 @@
             self._leases[old.lease].keys.discard(key)
         if lease:
             self._leases[lease].keys.add(key)
-        create = old.create if old else self.revision
+        create = old.create_revision if old else self.revision
         held = KeyValue(key, value, create, self.revision, old.version + 1 if old else 1, lease)
         self._held[key] = held
         self._history.append(Change(held))
