--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from pearloom.fakes.fleet.days import Day, Played, play_day
+from pearloom.fakes.fleet.days import Day, Played, simulate_day
 
 RATE = 0.01
 BASE = (0.01, 0.02, 0.002)  # late, refused, failed
@@ -47,7 +47,7 @@
 
 def played(day: Day, seed: int) -> Played:
     """In a process of its own."""
-    return play_day(day, seed, RATE)
+    return simulate_day(day, seed, RATE)
 
 
 def plot(curves: dict[str, list[float]]) -> Path:
--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -57,7 +57,7 @@
         return self.tally.evidence(1, number, self.zone, 0, now_ms)
 
 
-def play_day(day: Day, seed: int, rate: float = 0.01, tolerance: float = 1.25) -> Played:
+def simulate_day(day: Day, seed: int, rate: float = 0.01, tolerance: float = 1.25) -> Played:
     """One day; a halt ends it."""
     random = Random(seed)
     names = {f"n{at}": ZONES[at % len(ZONES)] for at in range(day.softswitches)}
@@ -111,4 +111,4 @@
 
 def false_halts(day: Day, days: int, rate: float, seed: int = 0) -> int:
     """How many of so many days without anything worse are halted all the same."""
-    return sum(play_day(day, seed + at, rate).halted_s is not None for at in range(days))
+    return sum(simulate_day(day, seed + at, rate).halted_s is not None for at in range(days))
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pearloom.core.outcomes import CallOutcome
-from pearloom.fakes.fleet.days import Day, false_halts, play_day
+from pearloom.fakes.fleet.days import Day, false_halts, simulate_day
 from pearloom.rollout.evidence import Evidence, Tally, stage_id
 from pearloom.rollout.judge import RATIOS, Stratum, bounds, judge, log_evidence
 
@@ -51,23 +51,23 @@
 
 def test_one_in_twenty_of_one_class_is_found_and_named() -> None:
     day = Day(softswitches=12, inside=1, per_s=10.0, base=(0.002, 0.01, 0.001), worse=0.05, lasts_s=240)
-    found = play_day(day, seed=1)
+    found = simulate_day(day, seed=1)
     assert found.halted_s is not None and "failed of class" in found.why
 
 
 def test_what_befalls_all_alike_halts_nothing() -> None:
     """One call in 20 fails everywhere, in a surge of which one zone has more."""
     day = Day(softswitches=12, inside=1, per_s=10.0, base=(0.01, 0.02, 0.05), surge=0.3, lasts_s=240)
-    assert play_day(day, seed=2).halted_s is None
+    assert simulate_day(day, seed=2).halted_s is None
 
 
 def test_one_burst_at_the_stage_alone_is_no_regress() -> None:
     """A connection broke under ten calls of the one softswitch that has the new rules."""
     day = Day(softswitches=12, inside=1, per_s=10.0, base=(0.001, 0.001, 0.001), burst=10, lasts_s=120)
-    assert [play_day(day, seed).halted_s for seed in range(3, 8)] == [None] * 5
+    assert [simulate_day(day, seed).halted_s for seed in range(3, 8)] == [None] * 5
     many = Day(softswitches=12, inside=1, per_s=10.0, base=(0.001, 0.001, 0.001), burst=10, bursts=20,
                lasts_s=120)  # fmt: skip
-    assert play_day(many, seed=3).halted_s is not None, "but what goes on and on is"
+    assert simulate_day(many, seed=3).halted_s is not None, "but what goes on and on is"
 
 
 def test_false_halts_stay_under_the_stated_rate_though_it_is_looked_at_every_two_seconds() -> None:
@@ -98,4 +98,4 @@
 
 def test_seeds_play_the_same_day_again() -> None:
     day = Day(softswitches=4, inside=1, per_s=5.0, base=(0.02, 0.05, 0.01), lasts_s=20)
-    assert play_day(day, 5) == play_day(day, 5)
+    assert simulate_day(day, 5) == simulate_day(day, 5)
