--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from pearloom.fakes.fleet.days import Day, Played, simulate_day
+from pearloom.fakes.fleet.days import Day, DayResult, simulate_day
 
 RATE = 0.01
 BASE = (0.01, 0.02, 0.002)  # late, refused, failed
@@ -45,7 +45,7 @@
     return found
 
 
-def played(day: Day, seed: int) -> Played:
+def played(day: Day, seed: int) -> DayResult:
     """In a process of its own."""
     return simulate_day(day, seed, RATE)
 
--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
+class DayResult:
     """What came of it."""
 
     halted_s: float | None
@@ -57,7 +57,7 @@
         return self.tally.evidence(1, number, self.zone, 0, now_ms)
 
 
-def simulate_day(day: Day, seed: int, rate: float = 0.01, tolerance: float = 1.25) -> Played:
+def simulate_day(day: Day, seed: int, rate: float = 0.01, tolerance: float = 1.25) -> DayResult:
     """One day; a halt ends it."""
     random = Random(seed)
     names = {f"n{at}": ZONES[at % len(ZONES)] for at in range(day.softswitches)}
@@ -82,8 +82,8 @@
             told = {(one.name, 1): one.told(now + 999.0, second) for one in fleet}
             found = judge(told, "new", "old", tolerance)
             if found.has_regressed(rate) and found.worst is not None:
-                return Played(second + 1.0, found.worst.describe(rate), found.calls_new)
-    return Played(None, "", sum(one.calls for one in fleet if one.version == "new"))
+                return DayResult(second + 1.0, found.worst.describe(rate), found.calls_new)
+    return DayResult(None, "", sum(one.calls for one in fleet if one.version == "new"))
 
 
 def _second(one: _Softswitch, day: Day, now: float, sick: list[str], random: Random) -> None:
