--- a/pearloom/fakes/fleet/days.py
+++ b/pearloom/fakes/fleet/days.py
@@ -109,6 +109,6 @@
     )
 
 
-def false_halts(day: Day, days: int, rate: float, seed: int = 0) -> int:
+def count_false_halts(day: Day, days: int, rate: float, seed: int = 0) -> int:
     """How many of so many days without anything worse are halted all the same."""
     return sum(simulate_day(day, seed + at, rate).halted_s is not None for at in range(days))
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pearloom.core.outcomes import CallOutcome
-from pearloom.fakes.fleet.days import Day, false_halts, simulate_day
+from pearloom.fakes.fleet.days import Day, count_false_halts, simulate_day
 from pearloom.rollout.evidence import Evidence, Tally, stage_id
 from pearloom.rollout.judge import RATIOS, Stratum, bounds, judge, log_evidence
 
@@ -72,7 +72,7 @@
 
 def test_false_halts_stay_under_the_stated_rate_though_it_is_looked_at_every_two_seconds() -> None:
     day = Day(softswitches=8, inside=1, per_s=8.0, base=(0.02, 0.05, 0.01), surge=0.3, lasts_s=40)
-    assert false_halts(day, 40, 0.05) <= 5
+    assert count_false_halts(day, 40, 0.05) <= 5
 
 
 def told(name: str, zone: str, ends: dict[str, list[CallOutcome]]) -> tuple[tuple[str, int], Evidence]:
