--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -16,7 +16,7 @@
 
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
-from pearloom.fakes.stage import Testbed
+from pearloom.fakes.testbed import Testbed
 
 PAIRS = (("binary", "sip"), ("binary", "iax2"), ("iax2", "sip"), ("iax2", "iax2"))
 STEADY = ServerProfile(delay_ms=(5.0, 20.0), mean_hold_ms=500.0)
--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -23,7 +23,7 @@
 
     Prints how calls ended by class and protocols, and the rules that were broken; exit code 1 if any was.
     """
-    from pearloom.fakes.stage import Testbed
+    from pearloom.fakes.testbed import Testbed
 
     console = Console()
     stage = Testbed(seed)
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -35,7 +35,7 @@
 from pearloom.fakes.rules import Report, check
 from pearloom.fakes.script import ServerProfile
 from pearloom.fakes.sip_server import SipServer
-from pearloom.fakes.stage import CLASSES, SETTINGS, START_S, draw_set_up, free_port
+from pearloom.fakes.testbed import CLASSES, SETTINGS, START_S, draw_set_up, free_port
 
 ZONES = ("amsterdam", "dublin")
 DRIFTED = (
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -7,7 +7,7 @@
 
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
-from pearloom.fakes.stage import Testbed
+from pearloom.fakes.testbed import Testbed
 
 SHORT = ServerProfile(mean_hold_ms=400.0)
 LONG = ServerProfile(mean_hold_ms=60_000.0)
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -16,7 +16,7 @@
 from pearloom.fakes.callers import Iax2Caller
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import ServerProfile
-from pearloom.fakes.stage import Testbed
+from pearloom.fakes.testbed import Testbed
 from pearloom.iax2.frames import (
     Element,
     Elements,
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -9,7 +9,7 @@
 
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.script import Faults, ServerProfile
-from pearloom.fakes.stage import Testbed
+from pearloom.fakes.testbed import Testbed
 from pearloom.iax2.frames import (
     Iax,
     Type,
--- a/tests/iax2/test_mixed.py
+++ b/tests/iax2/test_mixed.py
@@ -8,7 +8,7 @@
 from pearloom.fakes.journal import EntryKind
 from pearloom.fakes.rules import Report
 from pearloom.fakes.script import Faults, ServerProfile
-from pearloom.fakes.stage import Testbed
+from pearloom.fakes.testbed import Testbed
 
 ROUGH = Faults(loss_share=0.05, duplicate_share=0.05, delay_share=0.05)
 SHORT = ServerProfile(mean_hold_ms=700.0)
--- a/tests/races/test_process.py
+++ b/tests/races/test_process.py
@@ -19,7 +19,7 @@
 
 from pearloom.admin import handover
 from pearloom.core.config import Server
-from pearloom.fakes.stage import free_port
+from pearloom.fakes.testbed import free_port
 from pearloom.interface import ListKind, PoolEntry, PoolState
 from tests.player import SETTINGS, encode
 from tests.races.harness import OPTIONS, Harness
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -16,7 +16,7 @@
 
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
-from pearloom.fakes.stage import free_port
+from pearloom.fakes.testbed import free_port
 from tests.test_program import TOLD, await_line, ended, start
 
 __all__ = ["ended"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pearloom.admin.handover import ask
-from pearloom.fakes.stage import free_port
+from pearloom.fakes.testbed import free_port
 
 # `ended` is the autouse fixture that ends what a test started, also when it fails.
 from tests.test_program import TOLD, await_line, ended, start  # noqa: F401
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from pearloom.fakes.stage import free_port
+from pearloom.fakes.testbed import free_port
 from tests.player import SETTINGS, encode
 
 ROOT = Path(__file__).parent.parent
