--- a/pearloom/fakes/etcd/store.py
+++ b/pearloom/fakes/etcd/store.py
@@ -210,7 +210,7 @@
         old = self._held.pop(key)
         if old.lease in self._leases:
             self._leases[old.lease].keys.discard(key)
-        gone = replace(old, value=b"", create=0, mod=self.revision, version=0, lease=0)
+        gone = replace(old, value=b"", create_revision=0, mod_revision=self.revision, version=0, lease=0)
         self._history.append(Change(gone, deleted=True))
 
     # --- history --------------------------------------------------------------------------------------------
--- a/pearloom/fakes/fleet/history.py
+++ b/pearloom/fakes/fleet/history.py
@@ -37,7 +37,8 @@
             after = str(slots[name]["phase"])
         if after not in MAY_FOLLOW[before]:
             found.append(
-                f"{change.held.mod_revision}: turn {name} went from {before or 'nothing'} to {after or 'nothing'}"
+                f"{change.held.mod_revision}: turn {name} went"
+                f" from {before or 'nothing'} to {after or 'nothing'}"
             )
         out = [slot["machine"] for slot in slots.values() if slot["phase"] in OUT]
         if len(out) > most_out:
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -133,7 +133,7 @@
     assert rig.head()["version"] == version
     calling.join()
     counted = sum(_calls(value) for value in _last_told(rig).values())
-    answered = sum(one.kind.name in ("STANDS", "REFUSED", "FAILED") for one in rig.journal.entries)
+    answered = sum(one.kind.name in ("ESTABLISHED", "REFUSED", "FAILED") for one in rig.journal.entries)
     assert 0 < counted <= answered, "no call is counted twice"
     judged(rig)
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -8,7 +8,7 @@
 from pearloom.fakes.rules import check
 
 ALLOWED = {"open-form": ["a", "b", "c", "d", "e"]}
-FIELDS = {"kind": "open-form", "protocol": "iax2", "description": b"sdp", "number": "1"}
+FIELDS = {"label": "open-form", "protocol": "iax2", "description": b"sdp", "number": "1"}
 
 
 def entry(at_ms: float, what: EntryKind, who: str = "a", **more: object) -> Entry:
@@ -23,7 +23,8 @@
 
 GOOD = [
     entry(0, EntryKind.OFFERED, "caller"), entry(10, EntryKind.SET_UP), entry(20, EntryKind.ANSWERED),
-    entry(30, EntryKind.ESTABLISHED, "caller"), entry(900, EntryKind.SERVER_RELEASED), entry(1000, EntryKind.RELEASED, "caller"),
+    entry(30, EntryKind.ESTABLISHED, "caller"), entry(900, EntryKind.SERVER_RELEASED),
+    entry(1000, EntryKind.RELEASED, "caller"),
 ]  # fmt: skip
 
 
@@ -42,19 +43,23 @@
         ("one final answer", [*GOOD, entry(1100, EntryKind.FAILED, "caller")]),
         ("no answer after a give-up", [GOOD[0], entry(5, EntryKind.GAVE_UP, "caller"), *GOOD[1:]]),
         ("answered in time", [GOOD[0], entry(3100, EntryKind.FAILED, "caller")]),
-        ("served only with what a server made", [*GOOD[:3], entry(30, EntryKind.ESTABLISHED, "x", description=b"x")]),
+        ("served only with what a server made", [*GOOD[:3],
+                                                 entry(30, EntryKind.ESTABLISHED, "x", description=b"x")]),
         ("one attempt out", [*GOOD[:2], entry(15, EntryKind.SET_UP, "b"), *GOOD[2:]]),
-        ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.CANCELLED), entry(700, EntryKind.SET_UP, "b")]),
+        ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.CANCELLED),
+                                entry(700, EntryKind.SET_UP, "b")]),
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.DROPPED), entry(700, EntryKind.SET_UP, "b")]),
         ("four attempts at most", [GOOD[0], *[one for n, who in enumerate("abcde") for one in
-                                   (entry(n * 9, EntryKind.SET_UP, who), entry(n * 9 + 1, EntryKind.DECLINED, who))]]),
+                                   (entry(n * 9, EntryKind.SET_UP, who),
+                                    entry(n * 9 + 1, EntryKind.DECLINED, who))]]),
         ("only pools of its class", [GOOD[0], entry(5, EntryKind.SET_UP, "z")]),
         ("no changed description", [GOOD[0], entry(5, EntryKind.SET_UP, description=b"sdq")]),
-        ("drains honoured within 250 ms", [entry(-400, EntryKind.STATE_CHANGED, kind="draining"), *GOOD]),
+        ("drains honoured within 250 ms", [entry(-400, EntryKind.STATE_CHANGED, label="draining"), *GOOD]),
         ("nothing sent for a call that is over", [GOOD[0], entry(5, EntryKind.GAVE_UP, "caller"),
                                                   entry(300, EntryKind.SET_UP)]),
         ("releases passed on", [*GOOD[:5], entry(2000, EntryKind.RELEASED, "caller")]),
-        ("releases passed on", [*GOOD[:4], entry(900, EntryKind.DIED), entry(9200, EntryKind.RELEASED, "caller")]),
+        ("releases passed on", [*GOOD[:4], entry(900, EntryKind.DIED),
+                                 entry(9200, EntryKind.RELEASED, "caller")]),
         ("nothing left standing at a caller", GOOD[:4]),
         ("nothing left standing at a server", GOOD[:3]),
         ("no set-up that no caller sent", [entry(10, EntryKind.SET_UP)]),
@@ -65,7 +70,8 @@
 
 
 def test_a_dead_server_ends_its_attempts_and_calls() -> None:
-    story = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"), entry(460, EntryKind.DECLINED, "b"),
+    story = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"),
+             entry(460, EntryKind.DECLINED, "b"),
              entry(470, EntryKind.REFUSED, "caller")]  # fmt: skip
     assert broken(story) == set()
     story = [*GOOD[:4], entry(900, EntryKind.DIED), entry(8000, EntryKind.RELEASED, "caller")]
