--- a/pearloom/fakes/journal.py
+++ b/pearloom/fakes/journal.py
@@ -1,4 +1,4 @@
-"""What the fakes saw and did, in one list: the rule checker reads this and nothing of the softswitch."""
+"""The record of what the fakes sent and received; the rule checker reads only this, not the softswitch."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class EntryKind(Enum):
-    """What an entry tells."""
+    """What a journal entry records."""
 
     OFFERED = "a caller sent a set-up"
-    ESTABLISHED = "a caller was told that its call stands"
-    REFUSED = "a caller was refused"
-    FAILED = "a caller was told that its set-up failed"
-    GAVE_UP = "a caller gave its set-up up"
-    CALLER_RELEASED = "a caller released its standing call"
-    RELEASED = "a caller was told that its standing call is over"
-    SET_UP = "a set-up reached a server whole"
-    ANSWERED = "a server wrote its answer"
-    DECLINED = "a server wrote its refusal"
-    CANCELLED = "a server was told that a set-up is given up"
-    DROPPED = "a server gave an unanswered set-up up by itself"
-    RELEASE_RECEIVED = "a server was told that a standing call is over"
-    SERVER_RELEASED = "a server released a standing call"
-    DIED = "a server's process ended, and with it all that stood there"
-    STATE_CHANGED = "the coordinator told of a server's state"
+    ESTABLISHED = "a caller received the answer to its set-up"
+    REFUSED = "a caller received a refusal"
+    FAILED = "a caller received the failure of its set-up"
+    GAVE_UP = "a caller abandoned its set-up"
+    CALLER_RELEASED = "a caller released its established call"
+    RELEASED = "a caller received the release of its established call"
+    SET_UP = "a server received a complete set-up"
+    ANSWERED = "a server sent its answer"
+    DECLINED = "a server sent its refusal"
+    CANCELLED = "a server received the cancellation of a set-up"
+    DROPPED = "a server discarded an unanswered set-up on its own"
+    RELEASE_RECEIVED = "a server received the release of an established call"
+    SERVER_RELEASED = "a server released an established call"
+    DIED = "a server's process ended, with all its established calls"
+    STATE_CHANGED = "the coordinator announced a server's state"
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One thing that happened, at Unix ms."""
+    """One recorded event, at a time in Unix ms."""
 
     at_ms: float
     kind: EntryKind
     party: str  # the server's id, or the caller's name
     call: str = ""
-    label: str = ""  # the call's class; for TOLD the state
+    label: str = ""  # the call's class; for STATE_CHANGED the state
     protocol: str = ""
     description: bytes = b""
     number: str = ""
@@ -44,10 +44,10 @@
 
 
 class Journal:
-    """The list, in the order of time."""
+    """All entries, in the order of time."""
 
     def __init__(self) -> None:
-        """Empty."""
+        """Start without entries."""
         self.entries: list[Entry] = []
 
     def add(
@@ -61,15 +61,15 @@
         number: str = "",
         patience_ms: float = 0.0,
     ) -> None:
-        """Note what happened just now."""
+        """Append an entry with the present time."""
         at = time.time() * 1000.0
         self.entries.append(Entry(at, kind, party, call, label, protocol, description, number, patience_ms))
 
     @property
     def is_quiet(self) -> bool:
-        """Is every call over, and every answer that is owed given, as the callers were told?"""
-        over = {EntryKind.ESTABLISHED: 1, EntryKind.RELEASED: -1, EntryKind.CALLER_RELEASED: -1}
+        """Whether, as seen by the callers, all calls have ended and all set-ups have their final answer."""
+        changes = {EntryKind.ESTABLISHED: 1, EntryKind.RELEASED: -1, EntryKind.CALLER_RELEASED: -1}
         final = (EntryKind.ESTABLISHED, EntryKind.REFUSED, EntryKind.FAILED, EntryKind.GAVE_UP)
-        held = sum(over.get(one.kind, 0) for one in self.entries)
-        owed = sum((one.kind is EntryKind.OFFERED) - (one.kind in final) for one in self.entries)
-        return held <= 0 and owed <= 0
+        established = sum(changes.get(entry.kind, 0) for entry in self.entries)
+        unanswered = sum((entry.kind is EntryKind.OFFERED) - (entry.kind in final) for entry in self.entries)
+        return established <= 0 and unanswered <= 0
--- a/pearloom/fakes/rules.py
+++ b/pearloom/fakes/rules.py
@@ -1,4 +1,4 @@
-"""Checks the rules on what the fakes recorded; it knows nothing of the softswitch's own account."""
+"""Checks the rules on the fakes' journal alone; nothing that the softswitch says of itself is used."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from pearloom.fakes.journal import Entry, EntryKind
 
-SLACK_MS = 50.0  # every limit on sockets is so much longer
-PAUSE_MS = 300.0  # after an attempt in doubt
-DRAIN_MS = 250.0  # after the coordinator told
-RELEASE_MS = 1_000.0  # from a server's release to its caller
-DEAD_MS = 8_000.0  # from a server's death to the callers of what stood there
+SLACK_MS = 50.0  # added to every limit, for the time that sockets take
+PAUSE_MS = 300.0  # after an attempt whose effect at the server is unknown
+DRAIN_MS = 250.0  # after the coordinator announced the state
+RELEASE_MS = 1_000.0  # from a server's release to its caller's
+DEAD_MS = 8_000.0  # from a server's death to the release at the callers of its established calls
 MAX_ATTEMPTS = 4
 _FINAL = (EntryKind.ESTABLISHED, EntryKind.REFUSED, EntryKind.FAILED)
 
@@ -29,172 +29,197 @@
 
 @dataclass(slots=True)
 class Report:
-    """What was found, and an account of how calls ended, by class and by the protocols of their two sides."""
+    """The violations found, and counts of the calls' outcomes and attempts."""
 
     violations: list[Violation] = field(default_factory=list)
-    # by class, caller's protocol, server's protocol, end
+    # by class, caller's protocol, last server's protocol, outcome
     outcomes: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)  # by server
-    mixed_protocol_calls: int = 0  # calls whose attempts went over both protocols
+    mixed_protocol_calls: int = 0  # calls with attempts over both protocols
 
     def add(self, rule: str, call: str, detail: str) -> None:
-        """Note a broken rule."""
+        """Append a violation."""
         self.violations.append(Violation(rule, call, detail))
 
 
 def check(
     entries: Sequence[Entry], allowed: Mapping[str, Sequence[str]], ended_ms: float, all_ended: bool = True
 ) -> Report:
-    """Check all rules. `allowed`: the servers that each class may use. `done`: all calls had time to end."""
+    """Check all rules on the entries of one run.
+
+    `allowed`: the servers that each class may use. `ended_ms`: when the run ended, in Unix ms. `all_ended`:
+    whether all calls had time to end."""
     report = Report()
     by_call: dict[str, list[Entry]] = defaultdict(list)
-    told: dict[str, float] = {}
-    died: dict[str, list[float]] = defaultdict(list)
+    withdrawn: dict[str, float] = {}
+    deaths: dict[str, list[float]] = defaultdict(list)
     for entry in entries:
         if entry.kind is EntryKind.STATE_CHANGED and entry.label != "ready":
-            told.setdefault(entry.party, entry.at_ms)
+            withdrawn.setdefault(entry.party, entry.at_ms)
         elif entry.kind is EntryKind.DIED:
-            died[entry.party].append(entry.at_ms)
+            deaths[entry.party].append(entry.at_ms)
         elif entry.call:
             by_call[entry.call].append(entry)
-    for call, story in by_call.items():
-        _Call(report, call, story, allowed, told, died, ended_ms, all_ended).check()
+    for call, call_entries in by_call.items():
+        _CallCheck(report, call, call_entries, allowed, withdrawn, deaths, ended_ms, all_ended).check()
     return report
 
 
-class _Call:
-    """One call's story."""
+class _CallCheck:
+    """Checks the entries of one call."""
 
     def __init__(
         self,
         report: Report,
         call: str,
-        story: list[Entry],
+        entries: list[Entry],
         allowed: Mapping[str, Sequence[str]],
-        told: Mapping[str, float],
-        died: Mapping[str, list[float]],
+        withdrawn: Mapping[str, float],
+        deaths: Mapping[str, list[float]],
         ended_ms: float,
-        done: bool,
+        all_ended: bool,
     ) -> None:
-        self.report, self.call, self.story = report, call, story
-        self.allowed, self.told, self.died = allowed, told, died
-        self.ended_ms, self.done = ended_ms, done
+        self.report, self.call, self.entries = report, call, entries
+        # By server, in Unix ms: when the coordinator first announced it as not ready; when its process ended.
+        self.allowed, self.withdrawn, self.deaths = allowed, withdrawn, deaths
+        self.ended_ms, self.all_ended = ended_ms, all_ended
 
-    def bad(self, rule: str, detail: str) -> None:
+    def add_violation(self, rule: str, detail: str) -> None:
         self.report.add(rule, self.call, detail)
 
     def check(self) -> None:
-        offered = next((one for one in self.story if one.kind is EntryKind.OFFERED), None)
+        offered = next((entry for entry in self.entries if entry.kind is EntryKind.OFFERED), None)
         if offered is None:
-            self.bad("no set-up that no caller sent", f"{self.story[0].kind.name} at {self.story[0].party}")
+            self.add_violation(
+                "no set-up that no caller sent", f"{self.entries[0].kind.name} at {self.entries[0].party}"
+            )
             return
-        self._answers(offered)
-        self._attempts(offered)
-        self._ends(offered)
+        self._check_answers(offered)
+        self._check_attempts(offered)
+        self._check_releases(offered)
 
-    def _answers(self, offered: Entry) -> None:
-        finals = [one for one in self.story if one.kind in _FINAL]
-        left = next((one.at_ms for one in self.story if one.kind is EntryKind.GAVE_UP), None)
+    def _check_answers(self, offered: Entry) -> None:
+        finals = [entry for entry in self.entries if entry.kind in _FINAL]
+        gave_up_ms = next((entry.at_ms for entry in self.entries if entry.kind is EntryKind.GAVE_UP), None)
         if len(finals) > 1:
-            self.bad("one final answer", " and ".join(one.kind.name for one in finals))
-        if left is not None and any(one.at_ms > left for one in finals):
-            self.bad("no answer after a give-up", finals[-1].kind.name)
+            self.add_violation("one final answer", " and ".join(entry.kind.name for entry in finals))
+        if gave_up_ms is not None and any(entry.at_ms > gave_up_ms for entry in finals):
+            self.add_violation("no answer after a give-up", finals[-1].kind.name)
         due = offered.at_ms + offered.patience_ms + SLACK_MS
-        if not finals and left is None and self.done:
-            self.bad("one final answer", "none")
+        if not finals and gave_up_ms is None and self.all_ended:
+            self.add_violation("one final answer", "none")
         for final in finals:
             if final.at_ms > due:
-                self.bad("answered in time", f"{final.at_ms - due:.0f} ms late")
-            made = [one.description for one in self.story if one.kind is EntryKind.ANSWERED]
+                self.add_violation("answered in time", f"{final.at_ms - due:.0f} ms late")
+            made = [entry.description for entry in self.entries if entry.kind is EntryKind.ANSWERED]
             if final.kind is EntryKind.ESTABLISHED and final.description not in made:
-                self.bad("served only with what a server made", f"{final.description[:40]!r}")
-        servers = [one for one in self.story if one.kind is EntryKind.SET_UP]
-        end = finals[0].kind.name if finals else "GAVE_UP" if left is not None else "NONE"
+                self.add_violation("served only with what a server made", f"{final.description[:40]!r}")
+        servers = [entry for entry in self.entries if entry.kind is EntryKind.SET_UP]
+        outcome = finals[0].kind.name if finals else "GAVE_UP" if gave_up_ms is not None else "NONE"
         last = servers[-1].protocol if servers else "-"
-        self.report.outcomes[offered.label, offered.protocol, last, end] += 1
-        if len({one.protocol for one in servers}) > 1:
+        self.report.outcomes[offered.label, offered.protocol, last, outcome] += 1
+        if len({entry.protocol for entry in servers}) > 1:
             self.report.mixed_protocol_calls += 1
 
-    def _attempts(self, offered: Entry) -> None:
-        out: Entry | None = None
-        free_ms = -math.inf  # an attempt in doubt ended then
+    def _check_attempts(self, offered: Entry) -> None:
+        pending: Entry | None = None
+        uncertain_ms = -math.inf  # when the last attempt with an unknown effect ended
         attempts = 0
-        for one in self.story:
+        for entry in self.entries:
             deaths = (
-                [] if out is None else [at for at in self.died[out.party] if out.at_ms <= at <= one.at_ms]
+                []
+                if pending is None
+                else [at for at in self.deaths[pending.party] if pending.at_ms <= at <= entry.at_ms]
             )
             if deaths:
-                out, free_ms = None, deaths[0]
-            if one.kind is EntryKind.SET_UP:
+                pending, uncertain_ms = None, deaths[0]
+            if entry.kind is EntryKind.SET_UP:
                 attempts += 1
-                self.report.attempts[one.party] += 1
-                self._attempt(offered, one)
-                if out is not None:
-                    self.bad("one attempt out", f"{out.party} and {one.party}")
-                if one.at_ms - free_ms < PAUSE_MS - SLACK_MS:
-                    self.bad("300 ms after doubt", f"{one.at_ms - free_ms:.0f} ms at {one.party}")
-                out = one
-            elif out is not None and one.party == out.party:
-                if one.kind in (EntryKind.CANCELLED, EntryKind.DROPPED):
-                    out, free_ms = None, one.at_ms
-                elif one.kind in (EntryKind.ANSWERED, EntryKind.DECLINED):
-                    out = None
+                self.report.attempts[entry.party] += 1
+                self._check_attempt(offered, entry)
+                if pending is not None:
+                    self.add_violation("one attempt out", f"{pending.party} and {entry.party}")
+                if entry.at_ms - uncertain_ms < PAUSE_MS - SLACK_MS:
+                    self.add_violation(
+                        "300 ms after doubt", f"{entry.at_ms - uncertain_ms:.0f} ms at {entry.party}"
+                    )
+                pending = entry
+            elif pending is not None and entry.party == pending.party:
+                if entry.kind in (EntryKind.CANCELLED, EntryKind.DROPPED):
+                    pending, uncertain_ms = None, entry.at_ms
+                elif entry.kind in (EntryKind.ANSWERED, EntryKind.DECLINED):
+                    pending = None
         if attempts > MAX_ATTEMPTS:
-            self.bad("four attempts at most", str(attempts))
-
-    def _attempt(self, offered: Entry, one: Entry) -> None:
-        if one.party not in self.allowed.get(offered.label, ()):
-            self.bad("only pools of its class", one.party)
-        if (one.label, one.number, one.description) != (offered.label, offered.number, offered.description):
-            self.bad("no changed description", f"{one.label} {one.number} {len(one.description)} bytes")
-        told = self.told.get(one.party)
-        if told is not None and one.at_ms > told + DRAIN_MS + SLACK_MS:
-            self.bad("drains honoured within 250 ms", f"{one.at_ms - told:.0f} ms at {one.party}")
-        left = next((end.at_ms for end in self.story if end.kind is EntryKind.GAVE_UP), None)
-        if left is not None and one.at_ms > left + DRAIN_MS:
-            self.bad("nothing sent for a call that is over", f"{one.at_ms - left:.0f} ms at {one.party}")
-
-    def _ends(self, offered: Entry) -> None:
-        """What stood at a caller is released to it, and what stood at a server is released there."""
-        stands = next((one for one in self.story if one.kind is EntryKind.ESTABLISHED), None)
-        if stands is not None:
-            over = next(
-                (one for one in self.story if one.kind in (EntryKind.RELEASED, EntryKind.CALLER_RELEASED)),
+            self.add_violation("four attempts at most", str(attempts))
+
+    def _check_attempt(self, offered: Entry, set_up: Entry) -> None:
+        if set_up.party not in self.allowed.get(offered.label, ()):
+            self.add_violation("only pools of its class", set_up.party)
+        if (set_up.label, set_up.number, set_up.description) != (
+            offered.label,
+            offered.number,
+            offered.description,
+        ):
+            self.add_violation(
+                "no changed description", f"{set_up.label} {set_up.number} {len(set_up.description)} bytes"
+            )
+        withdrawn_ms = self.withdrawn.get(set_up.party)
+        if withdrawn_ms is not None and set_up.at_ms > withdrawn_ms + DRAIN_MS + SLACK_MS:
+            self.add_violation(
+                "drains honoured within 250 ms", f"{set_up.at_ms - withdrawn_ms:.0f} ms at {set_up.party}"
+            )
+        gave_up_ms = next((entry.at_ms for entry in self.entries if entry.kind is EntryKind.GAVE_UP), None)
+        if gave_up_ms is not None and set_up.at_ms > gave_up_ms + DRAIN_MS:
+            self.add_violation(
+                "nothing sent for a call that is over",
+                f"{set_up.at_ms - gave_up_ms:.0f} ms at {set_up.party}",
+            )
+
+    def _check_releases(self, offered: Entry) -> None:
+        """Established calls must be released at both the caller and the server."""
+        established = next((entry for entry in self.entries if entry.kind is EntryKind.ESTABLISHED), None)
+        if established is not None:
+            released = next(
+                (
+                    entry
+                    for entry in self.entries
+                    if entry.kind in (EntryKind.RELEASED, EntryKind.CALLER_RELEASED)
+                ),
                 None,
             )
-            due = self._due(stands)
-            if due is not None and (over is None or over.at_ms > due) and due < self.ended_ms:
-                late = "never" if over is None else f"{over.at_ms - due:.0f} ms late"
-                self.bad("releases passed on", f"{late} of {stands.description[:20]!r}")
-            if over is None and self.done:
-                self.bad("nothing left standing at a caller", offered.protocol)
-        for answer in [one for one in self.story if one.kind is EntryKind.ANSWERED]:
+            due = self._release_due_ms(established)
+            if due is not None and (released is None or released.at_ms > due) and due < self.ended_ms:
+                late = "never" if released is None else f"{released.at_ms - due:.0f} ms late"
+                self.add_violation("releases passed on", f"{late} of {established.description[:20]!r}")
+            if released is None and self.all_ended:
+                self.add_violation("nothing left standing at a caller", offered.protocol)
+        for answer in [entry for entry in self.entries if entry.kind is EntryKind.ANSWERED]:
             ended = any(
-                one.party == answer.party and one.at_ms >= answer.at_ms
-                and one.kind in (EntryKind.RELEASE_RECEIVED, EntryKind.SERVER_RELEASED, EntryKind.CANCELLED)
-                for one in self.story
-            ) or any(at >= answer.at_ms for at in self.died[answer.party])  # fmt: skip
-            if not ended and self.done:
-                self.bad("nothing left standing at a server", answer.party)
-
-    def _due(self, stands: Entry) -> float | None:
-        """Until when the caller has to hear that its call is over."""
+                entry.party == answer.party and entry.at_ms >= answer.at_ms
+                and entry.kind in (EntryKind.RELEASE_RECEIVED, EntryKind.SERVER_RELEASED, EntryKind.CANCELLED)
+                for entry in self.entries
+            ) or any(at >= answer.at_ms for at in self.deaths[answer.party])  # fmt: skip
+            if not ended and self.all_ended:
+                self.add_violation("nothing left standing at a server", answer.party)
+
+    def _release_due_ms(self, established: Entry) -> float | None:
+        """Return when the caller's release is due, in Unix ms; None while the server's call has not ended."""
         answer = next(
             (
-                one
-                for one in self.story
-                if one.kind is EntryKind.ANSWERED and one.description == stands.description
+                entry
+                for entry in self.entries
+                if entry.kind is EntryKind.ANSWERED and entry.description == established.description
             ),
             None,
         )
         if answer is None:
             return None
-        for one in self.story:
+        for entry in self.entries:
             if (
-                one.kind is EntryKind.SERVER_RELEASED
-                and one.party == answer.party
-                and one.at_ms >= answer.at_ms
+                entry.kind is EntryKind.SERVER_RELEASED
+                and entry.party == answer.party
+                and entry.at_ms >= answer.at_ms
             ):
-                return one.at_ms + RELEASE_MS + SLACK_MS
-        deaths = [at for at in self.died[answer.party] if at >= answer.at_ms]
+                return entry.at_ms + RELEASE_MS + SLACK_MS
+        deaths = [at for at in self.deaths[answer.party] if at >= answer.at_ms]
         return deaths[0] + DEAD_MS + SLACK_MS if deaths else None
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker finds each broken rule, so that a run without any says something."""
+"""The rule checker finds each kind of violation, so that a run without any is meaningful."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 FIELDS = {"label": "open-form", "protocol": "iax2", "description": b"sdp", "number": "1"}
 
 
-def entry(at_ms: float, what: EntryKind, who: str = "a", **more: object) -> Entry:
-    fields: dict[str, object] = dict(FIELDS) if what in (EntryKind.OFFERED, EntryKind.SET_UP) else {}
-    if what is EntryKind.OFFERED:
+def entry(at_ms: float, kind: EntryKind, party: str = "a", **more: object) -> Entry:
+    fields: dict[str, object] = dict(FIELDS) if kind in (EntryKind.OFFERED, EntryKind.SET_UP) else {}
+    if kind is EntryKind.OFFERED:
         fields["patience_ms"] = 3000.0
-    if what in (EntryKind.ANSWERED, EntryKind.ESTABLISHED):
+    if kind in (EntryKind.ANSWERED, EntryKind.ESTABLISHED):
         fields["description"] = b"made"
-    call = "" if what in (EntryKind.STATE_CHANGED, EntryKind.DIED) else "1"
-    return Entry(at_ms, what, who, call, **(fields | more))  # type: ignore[arg-type]
+    call = "" if kind in (EntryKind.STATE_CHANGED, EntryKind.DIED) else "1"
+    return Entry(at_ms, kind, party, call, **(fields | more))  # type: ignore[arg-type]
 
 
 GOOD = [
@@ -28,16 +28,16 @@
 ]  # fmt: skip
 
 
-def broken(story: list[Entry], ended_ms: float = 60_000.0) -> set[str]:
-    return {one.rule for one in check(story, ALLOWED, ended_ms).violations}
+def broken(entries: list[Entry], ended_ms: float = 60_000.0) -> set[str]:
+    return {violation.rule for violation in check(entries, ALLOWED, ended_ms).violations}
 
 
-def test_a_good_story_breaks_no_rule() -> None:
+def test_a_correct_run_breaks_no_rule() -> None:
     assert broken(GOOD) == set()
 
 
 @pytest.mark.parametrize(
-    ("rule", "story"),
+    ("rule", "entries"),
     [
         ("one final answer", GOOD[:1]),
         ("one final answer", [*GOOD, entry(1100, EntryKind.FAILED, "caller")]),
@@ -49,9 +49,9 @@
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.CANCELLED),
                                 entry(700, EntryKind.SET_UP, "b")]),
         ("300 ms after doubt", [*GOOD[:2], entry(500, EntryKind.DROPPED), entry(700, EntryKind.SET_UP, "b")]),
-        ("four attempts at most", [GOOD[0], *[one for n, who in enumerate("abcde") for one in
-                                   (entry(n * 9, EntryKind.SET_UP, who),
-                                    entry(n * 9 + 1, EntryKind.DECLINED, who))]]),
+        ("four attempts at most", [GOOD[0], *[one for n, party in enumerate("abcde") for one in
+                                   (entry(n * 9, EntryKind.SET_UP, party),
+                                    entry(n * 9 + 1, EntryKind.DECLINED, party))]]),
         ("only pools of its class", [GOOD[0], entry(5, EntryKind.SET_UP, "z")]),
         ("no changed description", [GOOD[0], entry(5, EntryKind.SET_UP, description=b"sdq")]),
         ("drains honoured within 250 ms", [entry(-400, EntryKind.STATE_CHANGED, label="draining"), *GOOD]),
@@ -65,14 +65,14 @@
         ("no set-up that no caller sent", [entry(10, EntryKind.SET_UP)]),
     ],
 )  # fmt: skip
-def test_each_broken_rule_is_found(rule: str, story: list[Entry]) -> None:
-    assert rule in broken(story)
+def test_each_broken_rule_is_found(rule: str, entries: list[Entry]) -> None:
+    assert rule in broken(entries)
 
 
 def test_a_dead_server_ends_its_attempts_and_calls() -> None:
-    story = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"),
+    entries = [*GOOD[:2], entry(100, EntryKind.DIED), entry(450, EntryKind.SET_UP, "b"),
              entry(460, EntryKind.DECLINED, "b"),
              entry(470, EntryKind.REFUSED, "caller")]  # fmt: skip
-    assert broken(story) == set()
-    story = [*GOOD[:4], entry(900, EntryKind.DIED), entry(8000, EntryKind.RELEASED, "caller")]
-    assert broken(story) == set()
+    assert broken(entries) == set()
+    entries = [*GOOD[:4], entry(900, EntryKind.DIED), entry(8000, EntryKind.RELEASED, "caller")]
+    assert broken(entries) == set()
