--- a/pearloom/fakes/__init__.py
+++ b/pearloom/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for all that surrounds a softswitch, scripted, on loopback: for tests, the demo, benchmarks."""
+"""Fakes of the systems around a softswitch, on loopback: for tests, the demo and benchmarks."""
--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -1,4 +1,4 @@
-"""Callers of both protocols: each places calls, waits as long as it said, and notes what it is told."""
+"""Fake callers of both protocols: they place calls, wait no longer than announced, and record replies."""
 
 from __future__ import annotations
 
@@ -26,80 +26,80 @@
 from pearloom.iax2.numbers import CallNumbers
 from pearloom.iax2.out_leg import OutLeg
 
-REFUSED = (34, 42, 102)  # Q.850 causes that say: trying again is harmless
+REFUSED = (34, 42, 102)  # Q.850 causes after which trying again is harmless
 TICK_S = 0.01
 
 
 @dataclass(slots=True)
-class _Open:
+class _Call:
     """One call of a caller."""
 
-    stands: bool = False
-    told: bool = False  # its final answer came
+    is_established: bool = False
+    has_answer: bool = False  # the final answer was received
 
 
 def _now() -> float:
     return time.time() * 1000.0
 
 
-def _offered(journal: Journal, who: str, protocol: str, offer: SetUpRequest) -> None:
+def _record_set_up(journal: Journal, caller: str, protocol: str, request: SetUpRequest) -> None:
     journal.add(
-        EntryKind.OFFERED, who, offer.call, offer.class_name, protocol, offer.description, offer.number,
-        offer.patience_ms,
+        EntryKind.OFFERED, caller, request.call, request.class_name, protocol, request.description,
+        request.number, request.patience_ms,
     )  # fmt: skip
 
 
 class BinaryCaller:
-    """Brings calls over the binary protocol, on one connection that is opened again when it is closed."""
+    """Places calls over the binary protocol, on one connection that is opened again after it was closed."""
 
     protocol = "binary"
 
     def __init__(self, journal: Journal, name: str, address: Address) -> None:
-        """Not connected yet."""
+        """Start without a connection: the first call opens it."""
         self._journal, self.name, self._address = journal, name, address
         self._sock: socket.socket | None = None
-        self._calls: dict[str, _Open] = {}
+        self._calls: dict[str, _Call] = {}
 
-    def _connected(self) -> socket.socket:
+    def _connection(self) -> socket.socket:
         if self._sock is None:
             self._sock = socket.create_connection(self._address, timeout=5)
             self._sock.settimeout(None)
             gevent.spawn(self._read, self._sock)
         return self._sock
 
-    def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
-        """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
-        figures = f"dest:{offer.first_choice};width:1;via:-1" + (";again:1" if offer.was_cut else "")
+    def place(self, request: SetUpRequest, holds_ms: float = math.inf) -> None:
+        """Send a set-up; the call is released after `holds_ms` if it is established then."""
+        attributes = f"dest:{request.first_choice};width:1;via:-1" + (";again:1" if request.was_cut else "")
         parameters = {
-            int(Code.CLASS): offer.class_name.encode(),
-            int(Code.PATIENCE_MS): str(int(offer.patience_ms)).encode(),
-            int(Code.NUMBER): offer.number.encode(),
-            int(Code.ATTRIBUTES): figures.encode(),
-            int(Code.DESCRIPTION): offer.description,
+            int(Code.CLASS): request.class_name.encode(),
+            int(Code.PATIENCE_MS): str(int(request.patience_ms)).encode(),
+            int(Code.NUMBER): request.number.encode(),
+            int(Code.ATTRIBUTES): attributes.encode(),
+            int(Code.DESCRIPTION): request.description,
         }
-        sock = self._connected()  # before anything is noted: where nobody listens, nothing was offered
-        self._calls[offer.call] = _Open()
-        data = isup.encode(Message(Type.SET_UP, offer.call, parameters))
-        _offered(self._journal, self.name, self.protocol, offer)
+        sock = self._connection()  # before the journal entry: without a listener no set-up is sent
+        self._calls[request.call] = _Call()
+        data = isup.encode(Message(Type.SET_UP, request.call, parameters))
+        _record_set_up(self._journal, self.name, self.protocol, request)
         try:
             sock.sendall(data)
         except OSError:
             self._sock = None
-            self._connected().sendall(data)  # it crossed a close of a connection without set-ups
-        gevent.spawn_later((offer.patience_ms + SLACK_MS) / 1000.0, self._give_up, offer.call)
+            self._connection().sendall(data)  # the server was closing the idle connection
+        gevent.spawn_later((request.patience_ms + SLACK_MS) / 1000.0, self._give_up, request.call)
         if holds_ms < math.inf:
-            gevent.spawn_later(holds_ms / 1000.0, self._leave, offer.call)
+            gevent.spawn_later(holds_ms / 1000.0, self._release_established, request.call)
 
     def _give_up(self, call: str) -> None:
-        held = self._calls.get(call)
-        if held is not None and not held.told:
+        state = self._calls.get(call)
+        if state is not None and not state.has_answer:
             self._journal.add(EntryKind.GAVE_UP, self.name, call)
             del self._calls[call]
             self._release(call, 16)
 
-    def _leave(self, call: str) -> None:
-        held = self._calls.get(call)
-        if held is not None and held.stands:
+    def _release_established(self, call: str) -> None:
+        state = self._calls.get(call)
+        if state is not None and state.is_established:
             self._journal.add(EntryKind.CALLER_RELEASED, self.name, call)
             del self._calls[call]
             self._release(call, 16)
@@ -107,47 +107,53 @@
     def _release(self, call: str, cause: int) -> None:
         message = Message(Type.RELEASE, call, {int(Code.CAUSE): bytes((cause,))})
         try:
-            self._connected().sendall(isup.encode(message))
+            self._connection().sendall(isup.encode(message))
         except OSError:
             self._sock = None
 
     def _read(self, sock: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # of an answer: whoever asked is gone
+        with contextlib.suppress(OSError):  # from sending a reply after the peer has closed
             for message in messages(sock, isup.Decoder()):
-                self._message(sock, message)
+                self._handle_message(sock, message)
         if self._sock is sock:
             self._sock = None
         sock.close()
 
-    def _message(self, sock: socket.socket, message: Message) -> None:
-        held = self._calls.get(message.call)
-        if message.type == Type.ANSWER and held is not None:
-            held.stands = held.told = True
-            made = message.parameters.get(Code.DESCRIPTION, b"")
-            self._journal.add(EntryKind.ESTABLISHED, self.name, message.call, description=made)
+    def _handle_message(self, sock: socket.socket, message: Message) -> None:
+        state = self._calls.get(message.call)
+        if message.type == Type.ANSWER and state is not None:
+            state.is_established = state.has_answer = True
+            description = message.parameters.get(Code.DESCRIPTION, b"")
+            self._journal.add(EntryKind.ESTABLISHED, self.name, message.call, description=description)
         elif message.type == Type.RELEASE:
             sock.sendall(isup.encode(Message(Type.RELEASE_COMPLETE, message.call)))
-            if held is not None:
+            if state is not None:
                 del self._calls[message.call]
                 refused = message.cause in REFUSED
-                what = EntryKind.RELEASED if held.told else EntryKind.REFUSED if refused else EntryKind.FAILED
-                self._journal.add(what, self.name, message.call)
+                kind = (
+                    EntryKind.RELEASED
+                    if state.has_answer
+                    else EntryKind.REFUSED
+                    if refused
+                    else EntryKind.FAILED
+                )
+                self._journal.add(kind, self.name, message.call)
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self._sock is not None:
             self._sock.close()
 
 
 class _CallerLeg(OutLeg):
-    """A leg and the call on it."""
+    """A leg with its call's id and state."""
 
     call = ""
-    stands = False
+    is_established = False
 
 
 class Iax2Caller:
-    """Brings calls over IAX2, behind a path that may lose, double and reorder."""
+    """Places calls over IAX2, behind a path that may lose, duplicate and reorder datagrams."""
 
     protocol = "iax2"
 
@@ -161,77 +167,77 @@
         secret: str = "",
         host: str = "127.0.0.1",
     ) -> None:
-        """Open a socket at `host`."""
+        """Open a socket at `host`; `secret`: for callers that have to authenticate."""
         self._journal, self.name, self._address, self._secret = journal, name, address, secret
         self._in, self._out = LossyPath(faults or Faults(), seed + 1), LossyPath(faults or Faults(), seed + 2)
         self._numbers = CallNumbers(1 + seed * 7919 % 30_000)
         self._legs: dict[int, _CallerLeg] = {}
         self._by_call: dict[str, _CallerLeg] = {}
-        self.voice_received = 0  # pieces of voice that came
+        self.voice_received = 0  # voice frames received
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 21)
         self._sock.bind((host, 0))
         self._running = [gevent.spawn(self._read), gevent.spawn(self._tick)]
 
-    def place(self, offer: SetUpRequest, holds_ms: float = math.inf) -> None:
-        """Send a set-up; a call that stands is released after `holds_ms`, if it still stands."""
+    def place(self, request: SetUpRequest, holds_ms: float = math.inf) -> None:
+        """Send a set-up; the call is released after `holds_ms` if it is established then."""
         number = self._numbers.take(_now())
         if number is None:
             raise RuntimeError("no call number is free")
-        offer.codec = ULAW
-        elements = Elements(call_elements(offer, self.name if self._secret else ""))
+        request.codec = ULAW
+        elements = Elements(call_elements(request, self.name if self._secret else ""))
         leg = _CallerLeg(number, elements, self._secret, _now(), lambda: True)
-        leg.call = offer.call
-        self._legs[number] = self._by_call[offer.call] = leg
-        _offered(self._journal, self.name, self.protocol, offer)
+        leg.call = request.call
+        self._legs[number] = self._by_call[request.call] = leg
+        _record_set_up(self._journal, self.name, self.protocol, request)
         leg.start(_now())
         self._flush(leg, [])
-        gevent.spawn_later((offer.patience_ms + SLACK_MS) / 1000.0, self._give_up, leg)
+        gevent.spawn_later((request.patience_ms + SLACK_MS) / 1000.0, self._give_up, leg)
         if holds_ms < math.inf:
-            gevent.spawn_later(holds_ms / 1000.0, self._leave, leg)
+            gevent.spawn_later(holds_ms / 1000.0, self._release_established, leg)
 
     def send_voice(self, call: str, stamp_ms: int, payload: bytes) -> None:
-        """Say something in a call that stands."""
+        """Send one voice frame in an established call; a no-op for other calls."""
         leg = self._by_call.get(call)
-        if leg is not None and leg.stands:
+        if leg is not None and leg.is_established:
             leg.say(Media(MediaKind.VOICE, ULAW, stamp_ms, payload), _now())
             self._flush(leg, [])
 
     def _give_up(self, leg: _CallerLeg) -> None:
-        if not leg.stands and not leg.over and not leg.closing:
+        if not leg.is_established and not leg.over and not leg.closing:
             self._journal.add(EntryKind.GAVE_UP, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
-    def _leave(self, leg: _CallerLeg) -> None:
-        if leg.stands and not leg.closing and not leg.over:
+    def _release_established(self, leg: _CallerLeg) -> None:
+        if leg.is_established and not leg.closing and not leg.over:
             self._journal.add(EntryKind.CALLER_RELEASED, self.name, leg.call)
             leg.hang_up(16, _now())
             self._flush(leg, [])
 
     def _flush(self, leg: _CallerLeg, events: list[Event]) -> None:
         for event in events:
-            self._event(leg, event)
+            self._handle_event(leg, event)
         for data in leg.take():
-            self._out.carry(data, self._put)
+            self._out.carry(data, self._send)
 
-    def _put(self, data: bytes) -> None:
+    def _send(self, data: bytes) -> None:
         with contextlib.suppress(OSError):
             self._sock.sendto(data, self._address)
 
-    def _event(self, leg: _CallerLeg, event: Event) -> None:
+    def _handle_event(self, leg: _CallerLeg, event: Event) -> None:
         match event:
             case Answered(description, _):
-                leg.stands = True
+                leg.is_established = True
                 self._journal.add(EntryKind.ESTABLISHED, self.name, leg.call, description=description or b"")
             case Rejected(_, cause, _, _):
-                what = EntryKind.REFUSED if cause in REFUSED else EntryKind.FAILED
-                self._journal.add(what, self.name, leg.call)
+                kind = EntryKind.REFUSED if cause in REFUSED else EntryKind.FAILED
+                self._journal.add(kind, self.name, leg.call)
             case Failed():
                 self._journal.add(EntryKind.GAVE_UP, self.name, leg.call)
             case HungUp() | Gone():
                 self._journal.add(EntryKind.RELEASED, self.name, leg.call)
-                leg.stands = False
+                leg.is_established = False
             case Heard():
                 self.voice_received += 1
             case Over():
@@ -245,9 +251,9 @@
                 data, _ = self._sock.recvfrom(65536)
             except OSError:
                 return
-            self._in.carry(data, self._datagram)
+            self._in.carry(data, self._handle_datagram)
 
-    def _datagram(self, data: bytes) -> None:
+    def _handle_datagram(self, data: bytes) -> None:
         frames = decode(data)
         if isinstance(frames, Malformed):
             return
@@ -255,10 +261,14 @@
             if isinstance(frame, Full):
                 leg = self._legs.get(frame.destination)
                 if leg is None and not frame.is_iax(Iax.INVAL):
-                    self._out.carry(answer_without_leg(frame, Iax.INVAL), self._put)
+                    self._out.carry(answer_without_leg(frame, Iax.INVAL), self._send)
             else:
-                theirs = (one for one in self._legs.values() if one.transport.destination == frame.source)
-                leg = next(theirs, None)
+                matching = (
+                    candidate
+                    for candidate in self._legs.values()
+                    if candidate.transport.destination == frame.source
+                )
+                leg = next(matching, None)
             if leg is not None:
                 self._flush(leg, leg.feed(frame, _now()))
 
@@ -271,6 +281,6 @@
                     self._flush(leg, leg.tick(now))
 
     def close(self) -> None:
-        """End without a word."""
+        """Close the socket without releasing the calls."""
         gevent.killall(self._running)
         self._sock.close()
--- a/pearloom/fakes/iax2_server.py
+++ b/pearloom/fakes/iax2_server.py
@@ -1,4 +1,4 @@
-"""A session server that speaks IAX2, by script, behind a path that may lose, double and reorder."""
+"""A fake session server for IAX2, behind a path that may lose, duplicate and reorder datagrams."""
 
 from __future__ import annotations
 
@@ -37,41 +37,41 @@
 
 
 class _ServerLeg(InLeg):
-    """A leg and the call on it."""
+    """A leg with its call's id, state and handling."""
 
     peer: _Peer
-    key: tuple[bytes, int]  # token and time of its NEW
+    key: tuple[bytes, int]  # token and timestamp of its NEW
     call = ""
-    stands = False
-    act = Handling()
+    is_established = False
+    handling = Handling()
 
 
 class Iax2Server:
-    """Takes set-ups, answers by its manner, ends what stood; can die, come back, and fall silent."""
+    """Handles set-ups by its profile, releases established calls; can die, come back, and fall silent."""
 
     def __init__(
         self,
         journal: Journal,
         server: str,
-        manner: ServerProfile,
+        profile: ServerProfile,
         seed: int,
         faults: Faults | None = None,
         secret: str = "",
         asks_token: bool = True,
     ) -> None:
-        """Listen on loopback."""
-        self._journal, self.server, self.profile = journal, server, manner
-        self._made = 0
+        """Listen on a free port of loopback."""
+        self._journal, self.server, self.profile = journal, server, profile
+        self._answer_count = 0
         self._random, self._secret, self._asks_token = Random(seed), secret, asks_token
         self._in, self._out = LossyPath(faults or Faults(), seed + 1), LossyPath(faults or Faults(), seed + 2)
         self._key = secrets.token_bytes(16)
         self._legs: dict[_Peer, _ServerLeg] = {}
         self._spent: dict[tuple[bytes, int], float] = {}
         self._next = 1 + self._random.randrange(30_000)
-        self.silent = False  # takes nothing and says nothing, while its socket stays
-        self.omits_call_id = False  # answers tell nothing of where the call is
-        self.voice_received = 0  # pieces of voice that came
-        self.ignored_frames: set[Iax] = set()  # frames that are lost on their way here, whatever the faults
+        self.silent = False  # ignores all datagrams and sends none, with its socket open
+        self.omits_call_id = False  # answers carry no elements
+        self.voice_received = 0  # voice frames received
+        self.ignored_frames: set[Iax] = set()  # frames of these types are ignored, whatever the faults
         self._sock = self._bind(("127.0.0.1", 0))
         self.address: Address = self._sock.getsockname()
         self._running: list[gevent.Greenlet[..., None]] = [
@@ -88,13 +88,12 @@
 
     @property
     def established_calls(self) -> int:
-        """Calls that stand."""
-        return sum(leg.stands for leg in self._legs.values())
+        """Count the established calls."""
+        return sum(leg.is_established for leg in self._legs.values())
 
     def _now(self) -> float:
         return time.time() * 1000.0
 
-    # --- what comes -----------------------------------------------------------------------------------------
     def _read(self, sock: socket.socket) -> None:
         while sock is self._sock:
             try:
@@ -102,9 +101,9 @@
             except OSError:
                 return
             if not self.silent:
-                self._in.carry(data, lambda one, source=source: self._datagram(one, source))  # type: ignore[misc]
+                self._in.carry(data, lambda data, source=source: self._handle_datagram(data, source))  # type: ignore[misc]
 
-    def _datagram(self, data: bytes, source: Address) -> None:
+    def _handle_datagram(self, data: bytes, source: Address) -> None:
         frames = decode(data)
         if isinstance(frames, Malformed) or self.silent:
             return
@@ -113,13 +112,13 @@
             if isinstance(frame, Full) and any(frame.is_iax(kind) for kind in self.ignored_frames):
                 continue
             if isinstance(frame, Full) and frame.is_iax(Iax.NEW):
-                self._new(frame, source, leg)
+                self._handle_new(frame, source, leg)
             elif leg is not None and (isinstance(frame, Mini) or frame.destination in (0, leg.source)):
                 self._flush(leg, leg.feed(frame, self._now()))
             elif isinstance(frame, Full) and not frame.is_iax(Iax.INVAL):
                 self._send(answer_without_leg(frame, Iax.INVAL), source)
 
-    def _new(self, frame: Full, source: Address, leg: _ServerLeg | None) -> None:
+    def _handle_new(self, frame: Full, source: Address, leg: _ServerLeg | None) -> None:
         elements = decode_elements(frame.data)
         if isinstance(elements, Malformed):
             return
@@ -131,57 +130,60 @@
         if key in self._spent and self._now() - self._spent[key] < tokens.LIVES_MS:
             return
         if self._asks_token and not tokens.holds(self._key, source, frame.source, token, self._now()):
-            made = tokens.issue(self._key, source, frame.source, self._now())
-            asked = Elements([(Element.CALLTOKEN, made)]).encode()
-            self._send(answer_without_leg(frame, Iax.CALLTOKEN, asked), source)
+            issued = tokens.issue(self._key, source, frame.source, self._now())
+            token_elements = Elements([(Element.CALLTOKEN, issued)]).encode()
+            self._send(answer_without_leg(frame, Iax.CALLTOKEN, token_elements), source)
             return
-        act = self.profile.draw(self._random)
-        if act.behaviour is Behaviour.IGNORE:
+        handling = self.profile.draw(self._random)
+        if handling.behaviour is Behaviour.IGNORE:
             return
         self._next = self._next % 32_000 + 1
         leg = _ServerLeg(self._next, frame, elements, self._secret, f"{self._next:08x}", self._now())
-        leg.peer, leg.key, leg.act = (source, frame.source), key, act
+        leg.peer, leg.key, leg.handling = (source, frame.source), key, handling
         self._legs[leg.peer] = leg
         self._flush(leg, leg.start(self._now()))
 
     def _flush(self, leg: _ServerLeg, events: list[Event]) -> None:
         for event in events:
-            self._event(leg, event)
+            self._handle_event(leg, event)
         for data in leg.take():
             self._send(data, leg.peer[0])
 
     def _send(self, data: bytes, address: Address) -> None:
         if not self.silent:
-            self._out.carry(data, lambda one: self._put(one, address))
+            self._out.carry(data, lambda data: self._put(data, address))
 
     def _put(self, data: bytes, address: Address) -> None:
         with contextlib.suppress(OSError):
             self._sock.sendto(data, address)
 
-    # --- what happens ---------------------------------------------------------------------------------------
-    def _event(self, leg: _ServerLeg, event: Event) -> None:
+    def _handle_event(self, leg: _ServerLeg, event: Event) -> None:
         match event:
             case Offered(elements):
-                self._offered(leg, elements)
+                self._handle_set_up(leg, elements)
             case HungUp(_) if leg.call:
                 self._journal.add(
-                    EntryKind.RELEASE_RECEIVED if leg.stands else EntryKind.CANCELLED, self.server, leg.call
+                    EntryKind.RELEASE_RECEIVED if leg.is_established else EntryKind.CANCELLED,
+                    self.server,
+                    leg.call,
                 )
-                leg.stands = False
+                leg.is_established = False
             case Gone(_) if leg.call:
                 self._journal.add(
-                    EntryKind.SERVER_RELEASED if leg.stands else EntryKind.DROPPED, self.server, leg.call
+                    EntryKind.SERVER_RELEASED if leg.is_established else EntryKind.DROPPED,
+                    self.server,
+                    leg.call,
                 )
-                leg.stands = False
+                leg.is_established = False
             case Heard(media):
                 self.voice_received += 1
-                leg.say(media, self._now())  # an echo
+                leg.say(media, self._now())  # echoes the voice
             case Over():
                 self._spent[leg.key] = self._now()
                 if self._legs.get(leg.peer) is leg:
                     del self._legs[leg.peer]
 
-    def _offered(self, leg: _ServerLeg, elements: Elements) -> None:
+    def _handle_set_up(self, leg: _ServerLeg, elements: Elements) -> None:
         description = join_description(elements)
         leg.call = (elements.get(Element.CALL) or b"").hex()
         self._journal.add(
@@ -193,35 +195,35 @@
             description if isinstance(description, bytes) else b"",
             elements.text(Element.CALLED_NUMBER) or "",
         )
-        if leg.act.behaviour is not Behaviour.NO_ANSWER:
-            gevent.spawn_later(leg.act.delay_ms / 1000.0, self._act, leg)
+        if leg.handling.behaviour is not Behaviour.NO_ANSWER:
+            gevent.spawn_later(leg.handling.delay_ms / 1000.0, self._respond, leg)
 
-    def _act(self, leg: _ServerLeg) -> None:
+    def _respond(self, leg: _ServerLeg) -> None:
         if leg.over or leg.closing or self._legs.get(leg.peer) is not leg:
             return
-        if leg.act.behaviour is Behaviour.REFUSE:
+        if leg.handling.behaviour is Behaviour.REFUSE:
             self._journal.add(EntryKind.DECLINED, self.server, leg.call)
-            leg.reject(leg.act.cause, "", 0.0, self._now())
+            leg.reject(leg.handling.cause, "", 0.0, self._now())
         else:
-            self._made += 1  # no two answers are alike, so that one can be told from the other
-            made = f"{self.server} {leg.call} {self._made} ".encode().ljust(
+            self._answer_count += 1  # makes each answer unique, so that answers can be told apart
+            description = f"{self.server} {leg.call} {self._answer_count} ".encode().ljust(
                 self.profile.description_bytes, b"."
             )
-            elements = answer_elements(made)
-            if leg.act.behaviour is Behaviour.MALFORMED or self.omits_call_id:
+            elements = answer_elements(description)
+            if leg.handling.behaviour is Behaviour.MALFORMED or self.omits_call_id:
                 elements = [] if self.omits_call_id else elements[1:] or [(Element.DESCRIPTION, b"\x07x")]
                 self._journal.add(EntryKind.DECLINED, self.server, leg.call)
             else:
-                leg.stands = True
-                self._journal.add(EntryKind.ANSWERED, self.server, leg.call, description=made)
-                gevent.spawn_later(leg.act.hold_ms / 1000.0, self.end, leg)
+                leg.is_established = True
+                self._journal.add(EntryKind.ANSWERED, self.server, leg.call, description=description)
+                gevent.spawn_later(leg.handling.hold_ms / 1000.0, self.end, leg)
             leg.answer(ULAW, elements, self._now())
         self._flush(leg, [])
 
     def end(self, leg: _ServerLeg) -> None:
-        """Release a call that stands here."""
-        if leg.stands and self._legs.get(leg.peer) is leg:
-            leg.stands = False
+        """Release an established call; a no-op for other calls."""
+        if leg.is_established and self._legs.get(leg.peer) is leg:
+            leg.is_established = False
             self._journal.add(EntryKind.SERVER_RELEASED, self.server, leg.call)
             leg.hang_up(16, self._now())
             self._flush(leg, [])
@@ -234,21 +236,20 @@
                 if leg.due_ms() <= now < math.inf:
                     self._flush(leg, leg.tick(now))
 
-    # --- failures -------------------------------------------------------------------------------------------
     def die(self) -> None:
-        """The process ends, and with it all that stood here."""
+        """End as a crashed process does, with all calls."""
         self._journal.add(EntryKind.DIED, self.server)
         self._legs.clear()
-        self._running[0].kill()  # first, or the closed socket keeps its address
+        self._running[0].kill()  # before the close: a pending read would keep the address in use
         self._sock.close()
 
     def revive(self) -> None:
-        """A new process at the same address, which knows nothing."""
+        """Start again at the same address, without any state of before."""
         self._key = secrets.token_bytes(16)
         self._sock = self._bind(self.address)
         self._running[0] = gevent.spawn(self._read, self._sock)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop all work and close the socket."""
         gevent.killall(self._running)
         self._sock.close()
--- a/pearloom/fakes/reading.py
+++ b/pearloom/fakes/reading.py
@@ -1,4 +1,4 @@
-"""What a fake reads from a connection: whole messages, until the other side ends it."""
+"""Reads whole messages from a fake's connection until it ends."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Decoder(Protocol[Message]):
-    """Cuts a byte stream into messages."""
+    """Splits a byte stream into messages."""
 
     def feed(self, data: bytes) -> Sequence[Message | Malformed]:
-        """Take bytes and return what they complete."""
+        """Append received bytes and return the messages that are complete with them."""
 
 
 def messages(sock: socket.socket, decoder: Decoder[Message]) -> Iterator[Message]:
-    """Each message that can be read; ends with the connection, however that comes about."""
+    """Yield each well-formed message until the connection is closed or fails."""
     try:
         while data := sock.recv(READ_BYTES):
             for message in decoder.feed(data):
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -1,4 +1,4 @@
-"""What a fake does with each set-up, drawn from a seed; and a path that loses, doubles and reorders."""
+"""What a fake server does with each set-up, drawn from a seed; and a lossy path for datagrams."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
     ANSWER = "answer"
     REFUSE = "refuse with a cause"
-    NO_ANSWER = "acknowledge and say nothing more"
-    IGNORE = "take no notice at all"
-    MALFORMED = "answer with something that can't be used"
+    NO_ANSWER = "acknowledge and send nothing more"
+    IGNORE = "send nothing at all"
+    MALFORMED = "answer with a message that can't be used"
 
 
 @dataclass(frozen=True, slots=True)
 class Handling:
-    """One set-up's fate."""
+    """How one set-up is handled."""
 
     behaviour: Behaviour = Behaviour.ANSWER
     delay_ms: float = 20.0
     hold_ms: float = 2_000.0
-    cause: int = 42  # Q.850, for TURN
+    cause: int = 42  # Q.850, for REFUSE
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     """How a fake server behaves; shares are of all set-ups."""
 
     delay_ms: tuple[float, float] = (5.0, 40.0)
-    mean_hold_ms: float = 2_000.0  # on average, exponential
+    mean_hold_ms: float = 2_000.0  # of an exponential distribution
     refused_share: float = 0.0
     causes: tuple[int, ...] = (42,)
     unanswered_share: float = 0.0
@@ -44,36 +44,36 @@
     description_bytes: int = 60
 
     def draw(self, random: Random) -> Handling:
-        """The fate of the next set-up."""
-        after, holds = random.uniform(*self.delay_ms), random.expovariate(1.0 / self.mean_hold_ms)
-        luck, cause = random.random(), random.choice(self.causes)
+        """Draw how the next set-up is handled."""
+        delay, hold = random.uniform(*self.delay_ms), random.expovariate(1.0 / self.mean_hold_ms)
+        drawn, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
             (self.refused_share, Behaviour.REFUSE),
             (self.unanswered_share, Behaviour.NO_ANSWER),
             (self.ignored_share, Behaviour.IGNORE),
             (self.malformed_share, Behaviour.MALFORMED),
         ):
-            if luck < share:
-                return Handling(behaviour, after, holds, cause)
-            luck -= share
-        return Handling(Behaviour.ANSWER, after, holds, cause)
+            if drawn < share:
+                return Handling(behaviour, delay, hold, cause)
+            drawn -= share
+        return Handling(Behaviour.ANSWER, delay, hold, cause)
 
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What a path does to datagrams; shares of them."""
+    """What a path does to datagrams; shares are of all datagrams."""
 
     loss_share: float = 0.0
     duplicate_share: float = 0.0
-    delay_share: float = 0.0  # by up to `by_ms`, and so past others
+    delay_share: float = 0.0  # delayed by up to `max_delay_ms`, and so overtaken by others
     max_delay_ms: float = 60.0
 
 
 class LossyPath:
-    """A lossy way, one draw for each datagram."""
+    """A path that draws its faults anew for each datagram."""
 
     def __init__(self, faults: Faults, seed: int) -> None:
-        """A run is its seed."""
+        """Draw from `seed`, so that a run can be repeated."""
         self._faults, self._random = faults, Random(seed)
 
     def carry(self, data: bytes, deliver: Callable[[bytes], None]) -> None:
--- a/pearloom/fakes/sip_server.py
+++ b/pearloom/fakes/sip_server.py
@@ -1,4 +1,4 @@
-"""A session server that speaks SIP, by script."""
+"""A fake session server for SIP, whose handling of set-ups is drawn from a profile."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from pearloom.sip import codec as sip
 
 PROTOCOL = "sip"
-# What a Q.850 cause of a script is in SIP.
+# SIP status and X-Why header of each Q.850 cause that a profile may name.
 _STATUS = {42: (503, "acc"), 34: (503, "atb"), 17: (486, "sub"), 27: (480, ""), 38: (504, ""), 41: (500, "")}
 
 
 @dataclass(slots=True)
-class _Held:
+class _Call:
     """A call at this server."""
 
     request: sip.Request
     sock: socket.socket
     sequence: str
-    stands: bool = False
+    is_established: bool = False
 
 
 class SipServer:
-    """Listens, answers by its manner, ends what stood, and can die."""
+    """Listens, handles set-ups by its profile, releases established calls, and can die."""
 
-    def __init__(self, journal: Journal, server: str, manner: ServerProfile, seed: int) -> None:
-        """Listen on loopback."""
-        self._journal, self.server, self.profile = journal, server, manner
-        self._made = 0
+    def __init__(self, journal: Journal, server: str, profile: ServerProfile, seed: int) -> None:
+        """Listen on a free port of loopback."""
+        self._journal, self.server, self.profile = journal, server, profile
+        self._answer_count = 0
         self._random = Random(seed)
-        self._calls: dict[str, _Held] = {}
+        self._calls: dict[str, _Call] = {}
         self._socks: list[socket.socket] = []
         self._listener = socket.socket()
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -49,8 +49,8 @@
 
     @property
     def established_calls(self) -> int:
-        """Calls that stand."""
-        return sum(held.stands for held in self._calls.values())
+        """Count the established calls."""
+        return sum(call_state.is_established for call_state in self._calls.values())
 
     def _accept(self) -> None:
         while True:
@@ -60,26 +60,26 @@
 
     def _serve(self, sock: socket.socket) -> None:
         decoder: Decoder[sip.Request | sip.Response] = sip.Decoder()
-        with contextlib.suppress(OSError):  # of an answer: whoever asked is gone
+        with contextlib.suppress(OSError):  # from sending a response after the peer has closed
             for message in messages(sock, decoder):
-                self._message(sock, message)
+                self._handle_message(sock, message)
         if sock in self._socks:
             self._socks.remove(sock)
         sock.close()
-        for call, held in list(self._calls.items()):
-            if held.sock is sock and not held.stands:
+        for call, call_state in list(self._calls.items()):
+            if call_state.sock is sock and not call_state.is_established:
                 self._journal.add(EntryKind.DROPPED, self.server, call)
                 del self._calls[call]
 
-    def _message(self, sock: socket.socket, message: sip.Request | sip.Response) -> None:
+    def _handle_message(self, sock: socket.socket, message: sip.Request | sip.Response) -> None:
         call = sip.call_of(message)
         if call is None or isinstance(message, sip.Response):
             return
         if message.method == "INVITE":
-            self._invited(sock, call, message)
+            self._handle_invite(sock, call, message)
         elif message.method == "CANCEL":
-            held = self._calls.get(call)
-            if held is not None and not held.stands:
+            call_state = self._calls.get(call)
+            if call_state is not None and not call_state.is_established:
                 self._journal.add(EntryKind.CANCELLED, self.server, call)
                 del self._calls[call]
         elif message.method == "BYE":
@@ -87,7 +87,7 @@
             if self._calls.pop(call, None) is not None:
                 self._journal.add(EntryKind.RELEASE_RECEIVED, self.server, call)
 
-    def _invited(self, sock: socket.socket, call: str, request: sip.Request) -> None:
+    def _handle_invite(self, sock: socket.socket, call: str, request: sip.Request) -> None:
         self._journal.add(
             EntryKind.SET_UP,
             self.server,
@@ -97,48 +97,55 @@
             request.body,
             request.number,
         )
-        held = self._calls[call] = _Held(request, sock, request.headers.get("cseq", ""))
-        act = self.profile.draw(self._random)
-        if act.behaviour not in (Behaviour.NO_ANSWER, Behaviour.IGNORE):
-            gevent.spawn_later(act.delay_ms / 1000.0, self._act, call, held, act)
+        call_state = self._calls[call] = _Call(request, sock, request.headers.get("cseq", ""))
+        handling = self.profile.draw(self._random)
+        if handling.behaviour not in (Behaviour.NO_ANSWER, Behaviour.IGNORE):
+            gevent.spawn_later(handling.delay_ms / 1000.0, self._respond, call, call_state, handling)
 
-    def _act(self, call: str, held: _Held, act: Handling) -> None:
-        if self._calls.get(call) is not held:
+    def _respond(self, call: str, call_state: _Call, handling: Handling) -> None:
+        if self._calls.get(call) is not call_state:
             return
-        if act.behaviour is Behaviour.REFUSE:
-            status, why = _STATUS.get(act.cause, (500, ""))
+        if handling.behaviour is Behaviour.REFUSE:
+            status, reason = _STATUS.get(handling.cause, (500, ""))
             del self._calls[call]
             self._journal.add(EntryKind.DECLINED, self.server, call)
             self._write(
-                held.sock, self._response(call, held, status, f"X-Why: {why}\r\n" if why else "", b"")
+                call_state.sock,
+                self._response(call, call_state, status, f"X-Why: {reason}\r\n" if reason else "", b""),
             )
             return
-        self._made += 1  # no two answers are alike, so that one can be told from the other
-        made = f"{self.server} {call} {self._made} ".encode().ljust(self.profile.description_bytes, b".")
-        held.stands = True
-        spoilt = act.behaviour is Behaviour.MALFORMED
-        if not spoilt:
-            self._journal.add(EntryKind.ANSWERED, self.server, call, description=made)
+        self._answer_count += 1  # makes each answer unique, so that answers can be told apart
+        description = f"{self.server} {call} {self._answer_count} ".encode().ljust(
+            self.profile.description_bytes, b"."
+        )
+        call_state.is_established = True
+        is_malformed = handling.behaviour is Behaviour.MALFORMED
+        if not is_malformed:
+            self._journal.add(EntryKind.ANSWERED, self.server, call, description=description)
         else:
             self._journal.add(EntryKind.DECLINED, self.server, call)
             del self._calls[call]
-        self._write(held.sock, self._response(call, held, 200, "", b"" if spoilt else made))
-        if not spoilt:
-            gevent.spawn_later(act.hold_ms / 1000.0, self._end, call, held)
+        self._write(
+            call_state.sock, self._response(call, call_state, 200, "", b"" if is_malformed else description)
+        )
+        if not is_malformed:
+            gevent.spawn_later(handling.hold_ms / 1000.0, self._release, call, call_state)
 
     @staticmethod
-    def _response(call: str, held: _Held, status: int, more: str, body: bytes) -> bytes:
-        head = f"SIP/2.0 {status} X\r\nCall-ID: {call}\r\nCSeq: {held.sequence}\r\n{more}"
+    def _response(call: str, call_state: _Call, status: int, extra_headers: str, body: bytes) -> bytes:
+        head = f"SIP/2.0 {status} X\r\nCall-ID: {call}\r\nCSeq: {call_state.sequence}\r\n{extra_headers}"
         return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
-    def _end(self, call: str, held: _Held) -> None:
-        if self._calls.get(call) is not held:
+    def _release(self, call: str, call_state: _Call) -> None:
+        if self._calls.get(call) is not call_state:
             return
         del self._calls[call]
         self._journal.add(EntryKind.SERVER_RELEASED, self.server, call)
         bye = sip.encode_request("BYE", "peer", call, 2, {"Reason": "Q.850;cause=16"})
-        # On its set-up's connection; where that is gone, on any that is open.
-        for sock in [one for one in (held.sock, *self._socks) if one in self._socks][:1]:
+        # On the connection of the set-up; where that is closed, on any open one.
+        for sock in [candidate for candidate in (call_state.sock, *self._socks) if candidate in self._socks][
+            :1
+        ]:
             self._write(sock, bye)
 
     def _write(self, sock: socket.socket, data: bytes) -> None:
@@ -146,13 +153,13 @@
             sock.sendall(data)
 
     def die(self) -> None:
-        """The process ends: its connections are reset, its calls cut."""
+        """End as a crashed process does: all connections close, all calls are lost."""
         self._journal.add(EntryKind.DIED, self.server)
         self._calls.clear()
         self.close()
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening and close all connections."""
         self._accepting.kill()
         self._listener.close()
         for sock in self._socks:
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -136,8 +136,8 @@
     limits = {"half_open": 3, "half_open_ms": 300}
     with played(Testbed(11, sip=(SHORT,), iax2=(), secret="kept between", limits=limits), binary=0) as stage:
         mute = Iax2Caller(stage.journal, "iax-caller", stage.iax2_at, 500, None, "kept between", "127.0.0.2")
-        mute._event = lambda leg, event: None  # type: ignore[method-assign]
-        mute._datagram = _only_tokens(mute)  # type: ignore[method-assign]
+        mute._handle_event = lambda leg, event: None  # type: ignore[method-assign]
+        mute._handle_datagram = _only_tokens(mute)  # type: ignore[method-assign]
         for _ in range(5):
             mute.place(stage.next_set_up(patience_ms=400.0))
         gevent.sleep(1.0)
@@ -149,7 +149,7 @@
 
 
 def _only_tokens(caller: Iax2Caller):  # type: ignore[no-untyped-def]
-    whole = caller._datagram
+    whole = caller._handle_datagram
 
     def some(data: bytes) -> None:
         if len(data) > 11 and data[10] == Type.IAX and data[11] == Iax.CALLTOKEN:
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -124,7 +124,7 @@
     quick = ServerProfile(delay_ms=(5.0, 10.0), mean_hold_ms=300.0, unanswered_share=0.15)
     with played(Testbed(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
         server, first = stage.iax2[0], dict[object, float]()
-        whole = server._datagram
+        whole = server._handle_datagram
 
         def late(data: bytes, source: tuple[str, int]) -> None:
             if len(data) > 11 and data[10] == Type.IAX and data[11] == Iax.HANGUP:
@@ -133,7 +133,7 @@
                     return
             whole(data, source)
 
-        server._datagram = late  # type: ignore[method-assign]
+        server._handle_datagram = late  # type: ignore[method-assign]
         stage.play(60, 6, leaves=0.0)
         settled(stage)
         again = count(stage, EntryKind.SET_UP) - count(stage, EntryKind.OFFERED)
