--- a/pearloom/fakes/cold_start.py
+++ b/pearloom/fakes/cold_start.py
@@ -1,8 +1,8 @@
-"""A cold session server met by a whole fleet, in simulated time: what all processes send it together.
+"""The load of a whole fleet on a cold session server, in simulated time, summed over all processes.
 
-The real decision module, one controller a process. Each sees its own calls alone: their shares of the load
-differ, some were restarted just now, and some are told of the start seconds late. Servers answer each set-up
-soon, or fail some, so that nothing but the module's own budget holds the fleet back.
+The real decision module runs, one controller for each process. Each sees only its own calls: their shares of
+the load differ, some processes have just restarted, and some learn of the server's start seconds late.
+Servers answer set-ups soon, or fail some, so that only the module's own budget limits the fleet.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 COLD, REPLACED = "s-cold", "s-replaced"
 COLD_CELL = 0
-STARTS_US = 12_000_000  # when the cold server starts; before, the processes learn the rates of warm ones
+STARTS_US = 12_000_000  # start of the cold server; before it the processes learn the rates of warm servers
 ANSWERS_US = 40_000
 REDIALS_US = 1_500_000  # after a refusal
-FAILED_SHARE = 0.1  # of set-ups at the cold server: they come again as further attempts
+FAILED_SHARE = 0.1  # of set-ups at the cold server; they are attempted again
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """What a draw is made from; times in us."""
+    """The parameters of a run."""
 
     settings: api.Settings
     processes: int
     servers: int
     per_s: float  # calls of one process on average
     utilisation: float = 0.8  # of a warm server's capacity, at the mean load
-    spread: float = 0.8  # of a process's load, as the deviation of its logarithm
+    spread: float = 0.8  # standard deviation of the logarithm of a process's load
     pressed: float = 0.5  # share of calls that name the cold server first
-    restarted: float = 0.3  # share of processes that start anew while the server is cold
-    told_late: float = 0.3  # share of processes that are told of the start seconds late
+    restarted: float = 0.3  # share of processes that restart while the server is cold
+    told_late: float = 0.3  # share of processes that learn of the start seconds late
 
 
 @dataclass(order=True, slots=True)
@@ -47,18 +47,18 @@
 
 
 class _Run:
-    """One draw."""
+    """One run, drawn from a seed."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.random, self.seed = fleet, Random(seed), seed
         self.now, self.count = 0, 0
         self.due: list[_Due] = []
         self.attempts: dict[tuple[int, str], int] = {}
-        self.sent: list[int] = []  # when set-ups left for the cold server
-        self.controllers = [self.started(index) for index in range(fleet.processes)]
+        self.sent: list[int] = []  # when set-ups were sent to the cold server, in us
+        self.controllers = [self.new_controller(index) for index in range(fleet.processes)]
         self.ends = STARTS_US + fleet.settings.warm_after_us
 
-    def started(self, index: int) -> Controller:
+    def new_controller(self, index: int) -> Controller:
         return Controller(self.fleet.settings, self.seed * 1000 + index + self.count)
 
     def at(self, at: float, act: Callable[[], None]) -> None:
@@ -68,7 +68,7 @@
     def play(self) -> list[int]:
         drawn = [math.exp(self.random.gauss(0.0, self.fleet.spread)) for _ in range(self.fleet.processes)]
         for index, weight in enumerate(drawn):
-            # Parts of one load: all together they bring what the warm servers were seen to carry.
+            # Scaled so that all processes together carry the stated mean load.
             self._begin(index, self.fleet.per_s * weight * self.fleet.processes / sum(drawn))
         while self.due and self.due[0].at < self.ends:
             due = heapq.heappop(self.due)
@@ -78,12 +78,12 @@
 
     def _begin(self, index: int, rate: float) -> None:
         fleet, random = self.fleet, self.random
-        self.tell(index, api.PoolList(api.ListKind.CACHED, self.listed(False)))
+        self.handle(index, api.PoolList(api.ListKind.CACHED, self.listed(False)))
         late = random.random() < fleet.told_late
-        told = STARTS_US + random.uniform(*((2.5e6, 7e6) if late else (0.3e6, 2.5e6)))
-        self.at(told, lambda: self.tell(index, api.PoolList(api.ListKind.CHANGES, self.replaced())))
+        listed_us = STARTS_US + random.uniform(*((2.5e6, 7e6) if late else (0.3e6, 2.5e6)))
+        self.at(listed_us, lambda: self.handle(index, api.PoolList(api.ListKind.CHANGES, self.replaced())))
         if random.random() < fleet.restarted:
-            self.at(STARTS_US + random.uniform(-1e6, 10e6), lambda: self.restart(index, told))
+            self.at(STARTS_US + random.uniform(-1e6, 10e6), lambda: self.restart(index, listed_us))
         self.arrive(index, rate)
 
     def listed(self, new: bool) -> tuple[api.PoolEntry, ...]:
@@ -95,29 +95,29 @@
         cold = api.PoolEntry(COLD, COLD_CELL, api.PoolState.READY, STARTS_US)
         return cold, api.PoolEntry(REPLACED, COLD_CELL, api.PoolState.GONE)
 
-    def restart(self, index: int, told: float) -> None:
-        self.controllers[index] = self.started(index)
-        self.tell(index, api.PoolList(api.ListKind.CACHED, self.listed(self.now >= told)))
+    def restart(self, index: int, listed_us: float) -> None:
+        self.controllers[index] = self.new_controller(index)
+        self.handle(index, api.PoolList(api.ListKind.CACHED, self.listed(self.now >= listed_us)))
 
     def arrive(self, index: int, rate: float) -> None:
         wait = self.random.expovariate(rate) * 1e6
 
         def arrived() -> None:
-            self.offer(index)
+            self.place_call(index)
             self.arrive(index, rate)
 
         self.at(self.now + wait, arrived)
 
-    def offer(self, index: int) -> None:
+    def place_call(self, index: int) -> None:
         random, settings = self.random, self.fleet.settings
-        kind = random.randrange(len(settings.classes))
+        class_index = random.randrange(len(settings.classes))
         pressed = self.now >= STARTS_US and random.random() < self.fleet.pressed
         first = COLD_CELL if pressed else random.randrange(self.fleet.servers)
         self.count += 1
-        patience = settings.classes[kind].deadline_us // 3
-        self.tell(index, api.CallArrived(f"c{self.count}", kind, -1, patience, first))
+        patience = settings.classes[class_index].deadline_us // 3
+        self.handle(index, api.CallArrived(f"c{self.count}", class_index, -1, patience, first))
 
-    def tell(self, index: int, event: api.Event) -> None:
+    def handle(self, index: int, event: api.Event) -> None:
         controller = self.controllers[index]
         for action in controller.handle(self.now, event):
             self.carry_out(index, controller, action)
@@ -125,8 +125,8 @@
     def carry_out(self, index: int, controller: Controller, action: api.Action) -> None:
         def later(after_us: float, event: Callable[[], api.Event]) -> None:
             def happen() -> None:
-                if self.controllers[index] is controller:  # not of a life that is over
-                    self.tell(index, event())
+                if self.controllers[index] is controller:  # the process has not restarted since
+                    self.handle(index, event())
 
             self.at(self.now + after_us, happen)
 
@@ -145,40 +145,40 @@
                 else:
                     later(ANSWERS_US, lambda: api.CallStands(call, attempt, server, ANSWERS_US))
             case api.Refuse():
-                self.at(self.now + REDIALS_US, lambda: self.offer(index))
+                self.at(self.now + REDIALS_US, lambda: self.place_call(index))
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """One window of the stated length at the cold server: what came, and what it bears."""
+    """One window of the length `fall_us` at the cold server: set-ups received, and the number it can take."""
 
-    begins_us: int  # after the start
+    begins_us: int  # after the server's start
     sent: int
-    budget: float  # N: what the settings allow the server then
-    most: float  # with what chance is allowed
+    budget: float  # the set-ups that the settings allow the server then
+    most: float  # the budget plus an allowance for random variation
 
     @property
     def fill(self) -> float:
-        """How full the window was; above 1 the server falls."""
+        """The share of the allowed number that was sent; above 1 the server is overloaded."""
         return self.sent / self.most
 
 
 def windows(fleet: Fleet, sent: list[int]) -> Iterator[Window]:
-    """Every window that begins with a set-up, judged by the capacity at its beginning.
+    """Yield every window that begins with a set-up, with the budget at its beginning.
 
-    A server's capacity is what its part of the load takes at that utilisation; it is told to nobody."""
+    A server's capacity is its part of the load divided by the utilisation; no process knows it."""
     settings = fleet.settings
     capacity = fleet.per_s * fleet.processes / fleet.servers / fleet.utilisation
-    at, end = [one - STARTS_US for one in sent if one >= STARTS_US], 0
+    at, end = [sent_us - STARTS_US for sent_us in sent if sent_us >= STARTS_US], 0
     for begin, begins in enumerate(at):
         while end < len(at) and at[end] < begins + settings.fall_us:
             end += 1
-        risen = min(begins / settings.warm_after_us, 1.0)
-        share = settings.cold_share + (1 - settings.cold_share) * risen
+        warm_up = min(begins / settings.warm_after_us, 1.0)
+        share = settings.cold_share + (1 - settings.cold_share) * warm_up
         budget = settings.fall_multiple * capacity * share * settings.fall_us / 1e6
         yield Window(begins, end - begin, budget, budget + 2 * math.sqrt(budget) + 2)
 
 
 def play(fleet: Fleet, seed: int) -> list[Window]:
-    """One draw, window by window."""
+    """Run once and return all windows at the cold server."""
     return list(windows(fleet, _Run(fleet, seed).play()))
--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator: the whole list first, then numbered changes, an empty frame a second."""
+"""A fake coordinator: the whole pool list first, then numbered changes, and an empty frame every second."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """One server as the coordinator knows it."""
+    """One server of the pool list."""
 
     server: str
     address: Address
@@ -27,20 +27,20 @@
     started_ms: int = 0
 
     def record(self) -> bytes:
-        """Its 27 bytes."""
+        """Return the server's record of 27 bytes on the wire."""
         host, port = self.address
-        known = int(self.server[2:], 16), int.from_bytes(socket.inet_aton(host), "big"), port
-        return _RECORD.pack(*known, STATES.index(self.state), 0, 0, self.cell, 1000, self.started_ms)
+        identity = int(self.server[2:], 16), int.from_bytes(socket.inet_aton(host), "big"), port
+        return _RECORD.pack(*identity, STATES.index(self.state), 0, 0, self.cell, 1000, self.started_ms)
 
 
 class FakeCoordinator:
-    """Tells every softswitch that connects of each change since the one it names."""
+    """Sends every softswitch that connects all events since the index that it asks from."""
 
     def __init__(self, journal: Journal, servers: list[ListedServer]) -> None:
-        """Listen; the first event is the list of these servers."""
+        """Listen on loopback; the first event is the list of these servers."""
         self._journal = journal
-        self._events: list[tuple[int, bytes]] = [(1, b"".join(one.record() for one in servers))]
-        self.servers = {one.server: one for one in servers}
+        self._events: list[tuple[int, bytes]] = [(1, b"".join(server.record() for server in servers))]
+        self.servers = {server.server: server for server in servers}
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(8)
@@ -49,16 +49,16 @@
         self._accepting = gevent.spawn(self._accept)
 
     def cached_list(self) -> dict[str, object]:
-        """The list as a softswitch's configuration has it."""
+        """Return the first list in the form of a softswitch's configuration."""
         hosts = [
-            {"host": one.server, "dial": "{}:{}".format(*one.address), "block": one.cell,
-             "health": "in_service", "born_ms": one.started_ms}
-            for one in self.servers.values()
+            {"host": server.server, "dial": "{}:{}".format(*server.address), "block": server.cell,
+             "health": "in_service", "born_ms": server.started_ms}
+            for server in self.servers.values()
         ]  # fmt: skip
         return {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": True, "hosts": hosts}}]}
 
     def announce(self, listed: ListedServer) -> None:
-        """A server's state is another from now on."""
+        """Send a server's new state to all softswitches, and record it."""
         self.servers[listed.server] = listed
         self._events.append((2, listed.record()))
         self._journal.add(EntryKind.STATE_CHANGED, listed.server, label=listed.state)
@@ -90,7 +90,7 @@
             pass
 
     def close(self) -> None:
-        """Tell nobody anything more."""
+        """Stop listening and close all connections."""
         self._accepting.kill()
         self._listener.close()
         for sock, _ in self._peers:
--- a/pearloom/fakes/testbed.py
+++ b/pearloom/fakes/testbed.py
@@ -28,7 +28,7 @@
 from pearloom.fakes.sip_server import SipServer
 
 CLASSES = ("open-form", "save-answers")
-WORTH_SHARE = 0.22  # of calls are of the second class
+SECOND_CLASS_SHARE = 0.22  # of all calls
 SETTINGS: dict[str, object] = {
     "fleetSize": 1,
     "guarantees": {"answerSlackUs": 20_000, "coldShare": 0.34, "fallMultiple": 2.0, "fallUs": 1_500_000,
@@ -46,9 +46,9 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """A port that nobody has at this moment, for a process that will listen on it a moment later.
+    """Return a port that is free now, for a process that will listen on it a moment later.
 
-    Guards against a port that a connection made in between gets as its own: those come from 32768 on."""
+    The port is below 32768: the system gives those from there on to connections opened in between."""
     while True:
         port = _PORTS.randrange(12_000, 32_000)
         with socket.socket(socket.AF_INET, kind) as probe, contextlib.suppress(OSError):
@@ -59,12 +59,12 @@
 def draw_set_up(
     random: Random, seed: int, number: int, servers: int, patience_ms: float, description: bytes
 ) -> SetUpRequest:
-    """Call `number` of the run with this seed: its class, what it dials and its first choice are drawn."""
-    kind = int(random.random() < WORTH_SHARE)
+    """Draw class, dialled number and first choice of call `number` of the run with this seed."""
+    class_index = int(random.random() < SECOND_CLASS_SHARE)
     return SetUpRequest(
         call=f"{seed & 0xFFFF:04x}{number:012x}",
-        class_index=kind,
-        class_name=CLASSES[kind],
+        class_index=class_index,
+        class_name=CLASSES[class_index],
         number=f"31{random.randrange(10**9):09d}",
         description=description,
         patience_ms=patience_ms,
@@ -73,7 +73,7 @@
 
 
 class Testbed:
-    """Sets the scene, plays calls, and checks what was recorded."""
+    """Starts the fakes and a softswitch, places calls, and checks the journal."""
 
     def __init__(
         self,
@@ -85,20 +85,24 @@
         limits: Mapping[str, float] | None = None,
         numbers: int = 0,
     ) -> None:
-        """Servers by their manners, those that speak SIP first; `faults` on every IAX2 path.
+        """Start a server for each profile, those for SIP first; `faults` apply to every IAX2 path.
 
-        `numbers`: how many call numbers each of the softswitch's sockets has, where not all."""
+        `numbers`: how many call numbers each of the softswitch's sockets has; 0: all."""
         self.random, self.journal, self.seed = Random(seed), Journal(), seed
         self._faults, self._secret, self._limits = faults, secret, dict(limits or {})
-        self.sip = [SipServer(self.journal, f"s-0000000{1 + n}", one, seed + n) for n, one in enumerate(sip)]
+        self.sip = [
+            SipServer(self.journal, f"s-0000000{1 + n}", profile, seed + n) for n, profile in enumerate(sip)
+        ]
         self.iax2 = [
-            Iax2Server(self.journal, f"s-0000001{1 + n}", one, seed + 50 + n, faults, secret)
-            for n, one in enumerate(iax2)
+            Iax2Server(self.journal, f"s-0000001{1 + n}", profile, seed + 50 + n, faults, secret)
+            for n, profile in enumerate(iax2)
         ]
         self.servers: list[SipServer | Iax2Server] = [*self.sip, *self.iax2]
-        listed = [ListedServer(one.server, one.address, cell) for cell, one in enumerate(self.servers)]
+        listed = [
+            ListedServer(server.server, server.address, cell) for cell, server in enumerate(self.servers)
+        ]
         self.coordinator = FakeCoordinator(self.journal, listed)
-        self.allowed = {name: [one.server for one in self.servers] for name in CLASSES}
+        self.allowed = {name: [server.server for server in self.servers] for name in CLASSES}
         self.binary_at: Address = ("127.0.0.1", free_port())
         self.iax2_at: Address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         self.management: Address = ("127.0.0.1", free_port())
@@ -108,21 +112,20 @@
         self.callers: list[BinaryCaller | Iax2Caller] = []
         self._calls = 0
 
-    # --- the softswitch -------------------------------------------------------------------------------------
     def records(self) -> str:
-        """The operator's file."""
-        told: dict[str, object] = {"listen": "{}:{}".format(*self.iax2_at), "servers": ["s-0000001?"]}
+        """Return the text of the operator's file."""
+        iax2: dict[str, object] = {"listen": "{}:{}".format(*self.iax2_at), "servers": ["s-0000001?"]}
         if self._secret:
-            told["secrets"] = {"iax-caller": self._secret}
-            told["server_secrets"] = {one.server: self._secret for one in self.iax2}
+            iax2["secrets"] = {"iax-caller": self._secret}
+            iax2["server_secrets"] = {server.server: self._secret for server in self.iax2}
         if self._limits:
-            told["limits"] = self._limits
-        return json.dumps({"iax2": told})
+            iax2["limits"] = self._limits
+        return json.dumps({"iax2": iax2})
 
     def start(self) -> None:
-        """Start the softswitch and wait until it takes calls."""
+        """Start the softswitch and wait until it accepts calls."""
         folder = Path(self._folder.name)
-        told = {
+        config = {
             "name": "n1",
             "listen": "{}:{}".format(*self.binary_at),
             "management": "{}:{}".format(*self.management),
@@ -132,12 +135,12 @@
             "limits": {"sockets": 1024, "memory_mb": 192},
             "settings": SETTINGS,
         }
-        (folder / "config.json").write_text(json.dumps(told))
+        (folder / "config.json").write_text(json.dumps(config))
         (folder / "pearloom.cue").write_text(self.records())
         program = ["-m", "pearloom"]
         if self._numbers:
-            few = f"import sys, pearloom.iax2.legs as legs; legs.NO_LEG = {self._numbers + 1}"
-            program = ["-c", f"{few}; import pearloom.__main__ as main; sys.exit(main.main())"]
+            patch = f"import sys, pearloom.iax2.legs as legs; legs.NO_LEG = {self._numbers + 1}"
+            program = ["-c", f"{patch}; import pearloom.__main__ as main; sys.exit(main.main())"]
         self._log = (folder / "log").open("wb")
         self.process = subprocess.Popen(
             [sys.executable, *program],
@@ -152,11 +155,11 @@
             gevent.sleep(0.02)
 
     def log(self) -> str:
-        """What the softswitch has logged so far."""
+        """Return the softswitch's log so far."""
         return (Path(self._folder.name) / "log").read_text(errors="replace")
 
     def counters(self) -> dict[str, int]:
-        """The softswitch's counters, as its last line of them gives them; asks for a new one."""
+        """Make the softswitch log its counters, and return them."""
         assert self.process is not None
         before = self.log().count("event=counters")
         self.process.send_signal(signal.SIGUSR1)
@@ -166,11 +169,10 @@
             if len(lines) > before:
                 pairs = (pair.partition("=") for pair in lines[-1].split())
                 return {name: int(value) for name, _, value in pairs if value.isdigit()}
-        raise RuntimeError("no counters came")
+        raise RuntimeError("the softswitch logged no counters")
 
-    # --- calls ----------------------------------------------------------------------------------------------
     def add_callers(self, binary: int, iax2: int) -> None:
-        """More callers of both kinds."""
+        """Add callers of both protocols."""
         for _ in range(binary):
             self.callers.append(BinaryCaller(self.journal, f"binary-{len(self.callers)}", self.binary_at))
         for _ in range(iax2):
@@ -187,7 +189,7 @@
             )
 
     def next_set_up(self, patience_ms: float = 3_000.0, description_bytes: int = 80) -> SetUpRequest:
-        """The next call, drawn."""
+        """Draw the set-up of the next call."""
         self._calls += 1
         return draw_set_up(
             self.random, self.seed, self._calls, len(self.servers), patience_ms,
@@ -195,7 +197,7 @@
         )  # fmt: skip
 
     def play(self, per_s: float, for_s: float, leaves: float = 0.2, patience_ms: float = 3_000.0) -> None:
-        """Place calls at this rate from all callers; a share of them is released by its caller."""
+        """Place calls at this rate from all callers; a share `leaves` of them is released by its caller."""
         began = time.time()
         for number in range(int(per_s * for_s)):
             wait = began + number / per_s - time.time()
@@ -207,35 +209,35 @@
             caller.place(self.next_set_up(patience_ms, size), holds)
 
     def settle(self, for_s: float) -> bool:
-        """Wait until nothing stands or is open at any fake, so long at most."""
+        """Wait at most `for_s` until no fake has an open call; returns whether that was reached."""
         until = time.time() + for_s
         while time.time() < until:
-            if self.journal.is_quiet and not any(one.established_calls for one in self.servers):
+            if self.journal.is_quiet and not any(server.established_calls for server in self.servers):
                 gevent.sleep(0.3)
                 return True
             gevent.sleep(0.1)
         return False
 
     def drain(self, server: SipServer | Iax2Server) -> None:
-        """The coordinator tells that a server drains."""
-        self._tell(server, "draining")
+        """Announce through the coordinator that a server drains."""
+        self._announce(server, "draining")
 
-    def _tell(self, server: SipServer | Iax2Server, state: str) -> None:
+    def _announce(self, server: SipServer | Iax2Server, state: str) -> None:
         cell = self.servers.index(server)
         self.coordinator.announce(ListedServer(server.server, server.address, cell, state))
 
     def report(self, done: bool = True) -> Report:
-        """What the rule checker finds."""
+        """Run the rule checker on the journal."""
         return check(self.journal.entries, self.allowed, time.time() * 1000.0, done)
 
     def close(self) -> int:
-        """End everything that was started here; returns the softswitch's exit code."""
+        """Stop the softswitch and all fakes; returns the softswitch's exit code."""
         code = 0
         if self.process is not None:
             self.process.terminate()
             code = self.process.wait(10)
             self._log.close()
-        for one in (*self.callers, *self.servers, self.coordinator):
-            one.close()
+        for fake in (*self.callers, *self.servers, self.coordinator):
+            fake.close()
         self._folder.cleanup()
         return code
