--- a/pearloom/fakes/fleet/__init__.py
+++ b/pearloom/fakes/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet rig: several real softswitch processes, all that surrounds them, and faults between any two."""
+"""The fleet rig: several real softswitch processes, fakes of the systems around them, and injected faults."""
 
 from pearloom.fakes.fleet.history import rule_violations, slot_violations
 from pearloom.fakes.fleet.proxy import LinkFaults, Proxy
--- a/pearloom/fakes/fleet/datagrams.py
+++ b/pearloom/fakes/fleet/datagrams.py
@@ -1,4 +1,4 @@
-"""A proxy for UDP on loopback, whose ways a test cuts, and on which datagrams are lost, doubled and late."""
+"""A UDP proxy on loopback, with cuts, loss, duplicates and delays for each direction."""
 
 from __future__ import annotations
 
@@ -12,71 +12,71 @@
 from pearloom.core.config import Address
 from pearloom.fakes.script import Faults, LossyPath
 
-LARGEST = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 
 
 class DatagramProxy:
-    """Listens on a port of its own for one target; each source has a socket of its own towards it."""
+    """Listens on its own port for one target, and uses one socket towards the target for each source."""
 
     def __init__(self, target: Address, seed: int) -> None:
-        """Listen; nothing goes wrong before it is asked for."""
+        """Listen, without faults."""
         self._target, self._seed = target, seed
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
         self.address: Address = self._sock.getsockname()
-        self._far: dict[Address, socket.socket] = {}
+        self._outgoing: dict[Address, socket.socket] = {}
         self.cut_there = self.cut_back = False
         self.heal()
-        self._running = [gevent.spawn(self._there_from)]
+        self._running = [gevent.spawn(self._carry_there)]
 
     def disturb(self, faults: Faults) -> None:
-        """From now on this befalls datagrams on both ways; a run is its seed."""
+        """Apply these faults in both directions from now on, drawn from the seed."""
         self._there, self._back = LossyPath(faults, self._seed), LossyPath(faults, self._seed + 1)
 
     def cut(self, there: bool = True, back: bool = True) -> None:
-        """From now on nothing passes on these ways."""
+        """Drop all datagrams in these directions, and carry them in the others."""
         self.cut_there, self.cut_back = there, back
 
     def heal(self) -> None:
-        """Everything passes again; what was lost stays lost."""
+        """Clear all faults; dropped datagrams stay lost."""
         self.cut_there = self.cut_back = False
         self.disturb(Faults())
 
-    def _there_from(self) -> None:
+    def _carry_there(self) -> None:
         with contextlib.suppress(OSError):
             while True:
-                data, source = self._sock.recvfrom(LARGEST)
-                far = self._far.get(source)
-                if far is None:
-                    far = self._far[source] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                    far.connect(self._target)
-                    self._running.append(gevent.spawn(partial(self._back_to, far, source)))
+                data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
+                outgoing = self._outgoing.get(source)
+                if outgoing is None:
+                    outgoing = self._outgoing[source] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+                    outgoing.connect(self._target)
+                    self._running.append(gevent.spawn(partial(self._carry_back, outgoing, source)))
                 if not self.cut_there:
-                    self._there.carry(data, _quietly(far.send))
+                    self._there.carry(data, _ignore_errors(outgoing.send))
 
-    def _back_to(self, far: socket.socket, source: Address) -> None:
+    def _carry_back(self, outgoing: socket.socket, source: Address) -> None:
         while True:
             try:
-                data = far.recv(LARGEST)
+                data = outgoing.recv(MAX_DATAGRAM_BYTES)
             except ConnectionRefusedError:
-                continue  # nobody listens at the target: to the source it is a lost datagram
+                continue  # no listener at the target: the source sees a lost datagram
             except OSError:
                 return
             if not self.cut_back:
-                self._back.carry(data, _quietly(lambda data: self._sock.sendto(data, source)))
+                self._back.carry(data, _ignore_errors(lambda data: self._sock.sendto(data, source)))
 
     def close(self) -> None:
-        """Carry nothing more."""
+        """Stop carrying datagrams and close all sockets."""
         gevent.killall(self._running, timeout=1)
-        for sock in (self._sock, *self._far.values()):
+        for sock in (self._sock, *self._outgoing.values()):
             sock.close()
 
 
-def _quietly(send: Callable[[bytes], object]) -> Callable[[bytes], None]:
-    """A datagram that can't be sent is lost, as any may be."""
+def _ignore_errors(send: Callable[[bytes], object]) -> Callable[[bytes], None]:
+    """Wrap `send` so that a datagram that can't be sent counts as lost."""
 
-    def action(data: bytes) -> None:
+    def send_or_drop(data: bytes) -> None:
         with contextlib.suppress(OSError):
             send(data)
 
-    return action
+    return send_or_drop
--- a/pearloom/fakes/fleet/history.py
+++ b/pearloom/fakes/fleet/history.py
@@ -1,4 +1,4 @@
-"""Judges the whole history of turns and rules afterwards, from what was written to the store alone."""
+"""Checks the history of maintenance slots and of the rules head, from the writes to the store alone."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 PREFIX = b"/pearloom/turns/"
 OUT = ("granted", "draining", "out", "returning")
-# From each phase to those that may follow it; "" is a key that is not there.
+# The phases that may follow each phase; "": the key does not exist.
 MAY_FOLLOW: Mapping[str, tuple[str, ...]] = {
     "": ("waiting",),
     "waiting": ("granted", ""),
@@ -23,8 +23,8 @@
 
 
 def slot_violations(store: KeyValueStore, most_out: int) -> list[str]:
-    """Each break of an invariant, in a line: too many out, a phase out of order, two grants of one life."""
-    found: list[str] = []
+    """Return a line for each violation: too many machines out, phases out of order, two slots a machine."""
+    violations: list[str] = []
     slots: dict[str, Mapping[str, Any]] = {}
     for change in store.since(1, PREFIX, b"/pearloom/turns0"):
         name = change.held.key[len(PREFIX) :].decode()
@@ -36,24 +36,24 @@
             slots[name] = json.loads(change.held.value)
             after = str(slots[name]["phase"])
         if after not in MAY_FOLLOW[before]:
-            found.append(
-                f"{change.held.mod_revision}: turn {name} went"
+            violations.append(
+                f"{change.held.mod_revision}: slot {name} went"
                 f" from {before or 'nothing'} to {after or 'nothing'}"
             )
         out = [slot["machine"] for slot in slots.values() if slot["phase"] in OUT]
         if len(out) > most_out:
-            found.append(f"{change.held.mod_revision}: {out} are out, {most_out} may be")
+            violations.append(f"{change.held.mod_revision}: {out} are out, at most {most_out} may be")
         if len(set(out)) < len(out):
-            found.append(f"{change.held.mod_revision}: a machine is out on two turns at once: {out}")
-    return found
+            violations.append(f"{change.held.mod_revision}: a machine has two slots at once: {out}")
+    return violations
 
 
 def rule_violations(store: KeyValueStore) -> list[str]:
-    """Each break of an invariant of the rules' head, in a line.
+    """Return a line for each violation of an invariant of the rules head.
 
-    Heads only grow, by one entry of the log each; a halted rollout never widens; a stage contains the one
-    before; the version in force is the one before or that of a rollout or of an edit."""
-    found: list[str] = []
+    A head's number only grows, with one log entry for each number; a halted rollout never widens; a stage
+    contains the one before; the version in force is the previous one or that of a rollout or of an edit."""
+    violations: list[str] = []
     before: Mapping[str, Any] = {"number": 0, "rollout": None}
     logged: dict[int, str] = {}
     for change in store.since(1, b"/pearloom/rules/", b"/pearloom/rules0"):
@@ -63,17 +63,23 @@
         if key.startswith("log/"):
             entry = json.loads(change.held.value)
             if logged.setdefault(entry["number"], entry["tag"]) != entry["tag"]:
-                found.append(f"{change.held.mod_revision}: two entries have the number {entry['number']}")
+                violations.append(
+                    f"{change.held.mod_revision}: two entries have the number {entry['number']}"
+                )
         if key != "head":
             continue
         head = json.loads(change.held.value)
         if head["number"] <= before["number"]:
-            found.append(f"{change.held.mod_revision}: head {head['number']} after {before['number']}")
+            violations.append(f"{change.held.mod_revision}: head {head['number']} after {before['number']}")
         old, new = before["rollout"], head["rollout"]
         if old and new and old["id"] == new["id"]:
             if old["halted"] and (new["stage"] > old["stage"] or not new["halted"]):
-                found.append(f"{change.held.mod_revision}: rollout {new['id']} went on after it was halted")
+                violations.append(
+                    f"{change.held.mod_revision}: rollout {new['id']} went on after it was halted"
+                )
             if not set(old["members"]) <= set(new["members"]):
-                found.append(f"{change.held.mod_revision}: a stage of rollout {new['id']} lost softswitches")
+                violations.append(
+                    f"{change.held.mod_revision}: a stage of rollout {new['id']} lost softswitches"
+                )
         before = head
-    return found
+    return violations
--- a/pearloom/fakes/fleet/proxy.py
+++ b/pearloom/fakes/fleet/proxy.py
@@ -1,7 +1,8 @@
-"""A TCP proxy on loopback between two parts of the rig, whose ways a test cuts, slows and breaks.
+"""A TCP proxy on loopback between two parts of the rig, with faults for each direction.
 
-Bytes are held back, never lost out of the middle of a stream: a cut way says nothing, as a lost link does.
-New connections come up while a way is cut and hear nothing, as behind a dead switch.
+Bytes are held back, never lost from the middle of a stream: a direction that is cut carries nothing and
+reports no error, like a lost link. New connections are accepted while a direction is cut, but carry nothing,
+as behind a failed switch.
 """
 
 from __future__ import annotations
@@ -17,28 +18,28 @@
 
 from pearloom.core.config import Address
 
-LOOK_S = 0.01
-PIECE = 16 * 1024
+POLL_S = 0.01
+READ_BYTES = 16 * 1024
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """What goes wrong on one way, until it is set back."""
+    """The faults of one direction, in force until they are cleared."""
 
     cut: bool = False
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    bytes_per_tick: int = 0  # trickle: so many bytes in 10 ms at most; 0: all at once
+    bytes_per_tick: int = 0  # at most so many bytes in 10 ms; 0: no limit
 
     def heal(self) -> None:
-        """Nothing goes wrong any more."""
+        """Clear all faults."""
         self.cut, self.delay_ms, self.jitter_ms, self.bytes_per_tick = False, 0.0, 0.0, 0
 
 
 @dataclass(slots=True)
 class Proxy:
-    """Listens on a port of its own for one target; `there` is the way to the target, `back` the other."""
+    """Listens on its own port for one target; `there` is the direction to the target, `back` the other."""
 
     target: Callable[[], Address]
     random: Random
@@ -49,7 +50,7 @@
     _pairs: list[tuple[socket.socket, socket.socket]] = field(default_factory=list)
 
     def start(self) -> Proxy:
-        """Listen."""
+        """Listen, and return the proxy itself."""
         self._listener = socket.socket()
         self._listener.bind(self.address)
         self._listener.listen(64)
@@ -60,54 +61,54 @@
     def _accept(self, listener: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while True:
-                near, _ = listener.accept()
-                gevent.spawn(self._join, near)
+                accepted, _ = listener.accept()
+                gevent.spawn(self._connect, accepted)
 
-    def _join(self, near: socket.socket) -> None:
+    def _connect(self, accepted: socket.socket) -> None:
         try:
-            far = socket.create_connection(self.target(), timeout=2)
-            far.settimeout(None)
+            outgoing = socket.create_connection(self.target(), timeout=2)
+            outgoing.settimeout(None)
         except OSError:
-            near.close()
+            accepted.close()
             return
-        self._pairs.append((near, far))
-        ways = [
-            gevent.spawn(self._carry, near, far, self.there),
-            gevent.spawn(self._carry, far, near, self.back),
+        self._pairs.append((accepted, outgoing))
+        directions = [
+            gevent.spawn(self._carry, accepted, outgoing, self.there),
+            gevent.spawn(self._carry, outgoing, accepted, self.back),
         ]
-        gevent.joinall(ways)
-        near.close()
-        far.close()
-        self._pairs.remove((near, far))
+        gevent.joinall(directions)
+        accepted.close()
+        outgoing.close()
+        self._pairs.remove((accepted, outgoing))
 
-    def _carry(self, source: socket.socket, sink: socket.socket, toxics: LinkFaults) -> None:
+    def _carry(self, source: socket.socket, sink: socket.socket, faults: LinkFaults) -> None:
         with contextlib.suppress(OSError):
-            while data := source.recv(PIECE):
+            while data := source.recv(READ_BYTES):
                 while data:
-                    while toxics.cut:
-                        gevent.sleep(LOOK_S)
-                    pause = toxics.delay_ms + self.random.uniform(0.0, toxics.jitter_ms)
+                    while faults.cut:
+                        gevent.sleep(POLL_S)
+                    pause = faults.delay_ms + self.random.uniform(0.0, faults.jitter_ms)
                     gevent.sleep(pause / 1000.0)
-                    size = toxics.bytes_per_tick or len(data)
+                    size = faults.bytes_per_tick or len(data)
                     sink.sendall(data[:size])
                     data = data[size:]
                     if data:
-                        gevent.sleep(LOOK_S)
-            while toxics.cut:
-                gevent.sleep(LOOK_S)
+                        gevent.sleep(POLL_S)
+            while faults.cut:
+                gevent.sleep(POLL_S)
             sink.shutdown(socket.SHUT_WR)
 
     def cut(self, there: bool = True, back: bool = True) -> None:
-        """From now on nothing passes on these ways."""
+        """Stop carrying data in these directions, and resume in the others."""
         self.there.cut, self.back.cut = there, back
 
     def heal(self) -> None:
-        """Everything passes again; what was held back comes now."""
+        """Clear all faults; data that was held back is sent now."""
         self.there.heal()
         self.back.heal()
 
     def reset(self) -> None:
-        """Break every connection that is open, in the middle of whatever is under way."""
+        """Reset every open connection, whatever is in transit."""
         for pair in list(self._pairs):
             for sock in pair:
                 with contextlib.suppress(OSError):
@@ -115,7 +116,7 @@
                     sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Listen no more, and end what is open."""
+        """Stop listening, and reset all open connections."""
         if self._listener is not None:
             self._listener.close()
         self.heal()
--- a/pearloom/fakes/fleet/rig.py
+++ b/pearloom/fakes/fleet/rig.py
@@ -1,6 +1,6 @@
-"""N softswitch processes in zones; a store, a coordinator, session servers, callers, and proxies between.
+"""Softswitch processes in zones, with a fake store, coordinator, session servers and callers, and proxies.
 
-Everything listens on ports that the system gives; `close` ends all that was started here, whatever it does.
+All ports are chosen at run time; `close` ends everything that was started here, in whatever state it is.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from pearloom.fakes.testbed import CLASSES, SETTINGS, START_S, draw_set_up, free_port
 
 ZONES = ("amsterdam", "dublin")
-DRIFTED = (
+DRIFTED_PROGRAM = (
     "import sys, time; real = time.time; time.time = lambda: real() + {drift};"
     " import pearloom.__main__ as main; sys.exit(main.main())"
 )
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One softswitch: its process, and its own ways to the store and to the coordinator."""
+    """One softswitch: its process, and its own proxies to the store and to the coordinator."""
 
     name: str
     zone: str
@@ -58,20 +58,20 @@
     process: subprocess.Popen[bytes] | None = None
     caller: BinaryCaller | None = None
     stopped: bool = False
-    drift_s: float = 0.0  # by so much its wall clock is off from its next start on
+    drift_s: float = 0.0  # offset of its wall clock, from its next start on
 
     @property
     def is_running(self) -> bool:
-        """Is its process there and not stopped?"""
+        """Whether its process exists and is not stopped by a signal."""
         return self.process is not None and self.process.poll() is None and not self.stopped
 
     def log(self) -> str:
-        """What it has logged in all its lives."""
+        """Return what all its processes so far have logged."""
         path = self.folder / "log"
         return path.read_text(errors="replace") if path.exists() else ""
 
     def send(self, number: signal.Signals) -> None:
-        """Send its process a signal."""
+        """Send a signal to its process."""
         assert self.process is not None
         self.process.send_signal(number)
         if number in (signal.SIGSTOP, signal.SIGCONT):
@@ -80,12 +80,12 @@
 
 @dataclass(slots=True)
 class Rig:
-    """The whole; a run is its seed and its script."""
+    """The fleet with its fakes; seed and script together determine a run."""
 
     seed: int
     softswitches: int = 3
-    servers: int = 3  # that speak SIP
-    iax2_servers: int = 0  # each behind a proxy of its own for datagrams, in `ways`
+    servers: int = 3  # for SIP
+    iax2_servers: int = 0  # each behind its own proxy, in `datagram_proxies`
     maintenance: Mapping[str, object] = field(default_factory=dict)
     rules: Mapping[str, object] = field(default_factory=dict)
     lease_s: int = 2
@@ -102,10 +102,10 @@
     _folder: tempfile.TemporaryDirectory[str] = field(init=False)
     _threads: ThreadPool = field(init=False)
     _calls: int = 0
-    _excused: set[str] = field(default_factory=set)
+    _excluded_calls: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        """Set the scene; no softswitch runs yet."""
+        """Start the fakes and proxies; no softswitch runs yet."""
         self.random = Random(self.seed)
         self._threads = ThreadPool(8)
         self._folder = tempfile.TemporaryDirectory(prefix="pearloom-rig-")
@@ -120,13 +120,13 @@
             for at in range(self.iax2_servers)
         ]
         self.datagram_proxies = [
-            DatagramProxy(one.address, self.seed + at) for at, one in enumerate(self.iax2)
+            DatagramProxy(fake.address, self.seed + at) for at, fake in enumerate(self.iax2)
         ]
-        places = [(one.server, one.address) for one in self.session_servers]
-        places += [
-            (one.server, way.address) for one, way in zip(self.iax2, self.datagram_proxies, strict=True)
+        addresses = [(fake.server, fake.address) for fake in self.session_servers]
+        addresses += [
+            (fake.server, proxy.address) for fake, proxy in zip(self.iax2, self.datagram_proxies, strict=True)
         ]
-        listed = [ListedServer(server, address, cell) for cell, (server, address) in enumerate(places)]
+        listed = [ListedServer(server, address, cell) for cell, (server, address) in enumerate(addresses)]
         self.coordinator = FakeCoordinator(self.journal, listed)
         self.nodes = {}
         for at in range(self.softswitches):
@@ -141,12 +141,11 @@
 
     @property
     def all_servers(self) -> list[SipServer | Iax2Server]:
-        """Those that speak SIP, then those that speak IAX2: in the order of their cells."""
+        """The servers for SIP, then those for IAX2: in the order of their cells."""
         return [*self.session_servers, *self.iax2]
 
-    # --- softswitches ---------------------------------------------------------------------------------------
     def start(self, *names: str) -> None:
-        """Start these softswitches (all), and wait until they take calls."""
+        """Start these softswitches (none named: all), and wait until they accept calls."""
         chosen = [self.nodes[name] for name in names or self.nodes]
         before = {node.name: node.log().count("event=started") for node in chosen}
         for node in chosen:
@@ -160,7 +159,7 @@
         self.wait_until(lambda: node.log().count("event=started") > before, START_S, node.log)
 
     def _spawn(self, node: Node) -> None:
-        told = {
+        config = {
             "name": node.name,
             "listen": "{}:{}".format(*node.listen),
             "management": "{}:{}".format(*node.management),
@@ -170,18 +169,18 @@
             "limits": {"sockets": 1024, "memory_mb": 192},
             "settings": {**SETTINGS, "fleetSize": self.softswitches, "zones": list(ZONES)},
         }
-        records = {
+        operator_file = {
             "store": {"at": ["{}:{}".format(*node.store.address)], "lease_s": self.lease_s, "timeout_ms": 400,
                       "fresh_ms": 1_500},
             "turns": {"zone": node.zone, "beat_ms": 400, **self.maintenance},
             **({"iax2": {"servers": ["s-0000001?"]}} if self.iax2 else {}),
             "rules": {"snapshot": str(node.folder / "rules"), "wait_ms": 500, **self.rules},
         }  # fmt: skip
-        (node.folder / "config.json").write_text(json.dumps(told))
-        (node.folder / "pearloom.cue").write_text(json.dumps(records))
+        (node.folder / "config.json").write_text(json.dumps(config))
+        (node.folder / "pearloom.cue").write_text(json.dumps(operator_file))
         program = ["-m", "pearloom"]
         if node.drift_s:
-            program = ["-c", DRIFTED.format(drift=node.drift_s)]
+            program = ["-c", DRIFTED_PROGRAM.format(drift=node.drift_s)]
         with (node.folder / "log").open("ab") as log:
             node.process = subprocess.Popen(
                 [sys.executable, *program],
@@ -192,18 +191,18 @@
         node.stopped = False
 
     def exclude_calls(self, name: str) -> None:
-        """Its process ends or stops this moment: no rule holds for the calls that it has now."""
-        offered = (one for one in self.journal.entries if one.kind is EntryKind.OFFERED)
-        self._excused |= {one.call for one in offered if one.party == f"caller-{name}"}
+        """Exclude the calls so far of this softswitch, whose process ends or stops now, from the rules."""
+        offered = (entry for entry in self.journal.entries if entry.kind is EntryKind.OFFERED)
+        self._excluded_calls |= {entry.call for entry in offered if entry.party == f"caller-{name}"}
 
     def _history(self) -> Journal:
-        """What was seen, less the calls that a killed or stopped softswitch had."""
-        found = Journal()
-        found.entries = [one for one in self.journal.entries if one.call not in self._excused]
-        return found
+        """Return the journal without the calls that a killed or stopped softswitch had."""
+        result = Journal()
+        result.entries = [entry for entry in self.journal.entries if entry.call not in self._excluded_calls]
+        return result
 
     def kill(self, name: str) -> None:
-        """SIGKILL, and wait for its end."""
+        """Send SIGKILL, and wait until the process has ended."""
         node = self.nodes[name]
         self.exclude_calls(name)
         node.send(signal.SIGKILL)
@@ -213,17 +212,18 @@
     def wait_until(
         self, holds: Callable[[], bool], most_s: float = 10.0, tell: Callable[[], str] = str
     ) -> float:
-        """Wait until it holds; returns the seconds that it took, and fails with what `tell` gives."""
+        """Wait until `holds` is true; returns the seconds it took. AssertionError with `tell()` if late."""
         began = time.monotonic()
         while not holds():
             if time.monotonic() - began > most_s:
-                raise AssertionError(f"it did not come about in {most_s:g} s: {tell()[-3000:]}")
+                raise AssertionError(
+                    f"the awaited condition did not hold within {most_s:g} s: {tell()[-3000:]}"
+                )
             gevent.sleep(0.01)
         return time.monotonic() - began
 
-    # --- operators ------------------------------------------------------------------------------------------
     def management_call(self, name: str, method: str, path: str, body: object = None) -> tuple[int, str]:
-        """An operator's call at this softswitch: status and text."""
+        """Make a management call at this softswitch; returns status and text."""
         host, port = self.nodes[name].management
         data = body if isinstance(body, bytes) else json.dumps(body).encode() if body is not None else None
 
@@ -236,11 +236,11 @@
             finally:
                 connection.close()
 
-        found: tuple[int, str] = self._threads.apply(call)
-        return found
+        result: tuple[int, str] = self._threads.apply(call)
+        return result
 
     def request_maintenance(self, at: str, *machines: str, urgent: bool = False) -> list[str]:
-        """Ask for turns; returns their ids."""
+        """Request maintenance slots at the softswitch `at`; returns their ids."""
         named = [
             {"kind": "server" if machine.startswith("s-") else "softswitch", "name": machine}
             for machine in machines
@@ -252,7 +252,7 @@
         return [line.split()[0].removeprefix("turn=") for line in text.splitlines()]
 
     def propose(self, at: str, rules: object, expected: int, **more: object) -> int:
-        """Propose rules at this softswitch; returns the head's number after it."""
+        """Propose rules at the softswitch `at`; returns the new head's number."""
         status, text = self.management_call(
             at, "POST", "/v1/rules", {"expected": expected, "rules": rules, "reason": "a try", **more}
         )
@@ -260,92 +260,94 @@
         return int(text.split()[0].removeprefix("head="))
 
     def head(self) -> Mapping[str, Any]:
-        """The head of the rules, as the store has it."""
-        held = self.gateway.store.range(b"/pearloom/rules/head")
-        found: Mapping[str, Any] = json.loads(held[0].value) if held else {"number": 0, "version": "none"}
-        return found
+        """Return the rules head from the store."""
+        stored = self.gateway.store.range(b"/pearloom/rules/head")
+        result: Mapping[str, Any] = (
+            json.loads(stored[0].value) if stored else {"number": 0, "version": "none"}
+        )
+        return result
 
     def halt_reason(self) -> str:
-        """Why the rollout at the head halted; empty where none has."""
+        """Return why the rollout at the head was halted; empty: it was not."""
         return str((self.head().get("rollout") or {}).get("halted", ""))
 
     def versions(self) -> Mapping[str, str]:
-        """The version that each softswitch went by last, by its own log."""
-        found = {}
+        """Return the rule version that each softswitch used last, from its log."""
+        result = {}
         for name, node in self.nodes.items():
             lines = [
                 line for line in node.log().splitlines() if " event=rules" in line and " version=" in line
             ]
-            found[name] = lines[-1].split(" version=")[1].split()[0] if lines else ""
-        return found
+            result[name] = lines[-1].split(" version=")[1].split()[0] if lines else ""
+        return result
 
-    def _turn(self, turn: str) -> Mapping[str, object]:
-        held = self.gateway.store.range(f"/pearloom/turns/{turn}".encode())
-        found: Mapping[str, object] = json.loads(held[0].value) if held else {}
-        return found
+    def _slot(self, slot: str) -> Mapping[str, object]:
+        stored = self.gateway.store.range(f"/pearloom/turns/{slot}".encode())
+        result: Mapping[str, object] = json.loads(stored[0].value) if stored else {}
+        return result
 
-    def phase(self, turn: str) -> str:
-        """Where a turn stands, as the store has it; empty where it is not there."""
-        return str(self._turn(turn).get("phase", ""))
+    def phase(self, slot: str) -> str:
+        """Return a maintenance slot's phase from the store; empty where the slot does not exist."""
+        return str(self._slot(slot).get("phase", ""))
 
-    def machine(self, turn: str) -> str:
-        """Whose turn it is; empty where it is not there."""
-        return str(self._turn(turn).get("machine", ""))
+    def machine(self, slot: str) -> str:
+        """Return the machine of a maintenance slot; empty where the slot does not exist."""
+        return str(self._slot(slot).get("machine", ""))
 
-    # --- calls ----------------------------------------------------------------------------------------------
     def play(self, per_s: float, for_s: float, holds_ms: float = 400.0) -> None:
-        """Callers place calls at the softswitches that run, at this rate in all; open loop."""
+        """Place calls at the running softswitches, at this rate in total and without waiting for answers."""
         began = time.time()
         for number in range(int(per_s * for_s)):
             gevent.sleep(max(began + number / per_s - time.time(), 0.0))
             ready = [node for node in self.nodes.values() if node.is_running and not self.drained(node)]
             if not ready:
                 continue
-            with contextlib.suppress(OSError):  # its process ended, or has not begun to listen
+            with contextlib.suppress(OSError):  # the process has ended, or does not listen yet
                 self.place(self.random.choice(ready).name, self.random.expovariate(1.0 / holds_ms))
 
     def place(self, name: str, holds_ms: float) -> None:
-        """One call at this softswitch, which its caller releases after so long if it still stands."""
+        """Place one call at this softswitch; it is released after `holds_ms` if it is established then."""
         caller = self.nodes[name].caller
         assert caller is not None, "started first"
-        caller.place(self._offer(), holds_ms)
+        caller.place(self._next_set_up(), holds_ms)
 
     def drained(self, node: Node) -> bool:
-        """Does its front send nobody new, as its log tells?"""
+        """Whether the softswitch is draining, by its log."""
         log = node.log()
         return log.rfind("event=draining") > max(log.rfind("event=active"), log.rfind("event=started"))
 
-    def _offer(self) -> SetUpRequest:
+    def _next_set_up(self) -> SetUpRequest:
         self._calls += 1
-        described = f"caller {self._calls}".encode()
-        return draw_set_up(self.random, self.seed, self._calls, len(self.all_servers), 3_000.0, described)
+        description = f"caller {self._calls}".encode()
+        return draw_set_up(self.random, self.seed, self._calls, len(self.all_servers), 3_000.0, description)
 
     def settle(self, most_s: float = 15.0) -> None:
-        """Wait until nothing stands or is open."""
+        """Wait until no fake has an open call; AssertionError after `most_s`."""
         self.wait_until(
-            lambda: self._history().is_quiet and not any(one.established_calls for one in self.all_servers),
+            lambda: self._history().is_quiet
+            and not any(server.established_calls for server in self.all_servers),
             most_s,
         )
         gevent.sleep(0.3)
 
     def report(self) -> Report:
-        """What the rule checker finds in all that the fakes saw."""
-        allowed = {name: [one.server for one in self.all_servers] for name in CLASSES}
+        """Run the rule checker on the journal, without the excluded calls."""
+        allowed = {name: [server.server for server in self.all_servers] for name in CLASSES}
         return check(self._history().entries, allowed, time.time() * 1000.0)
 
     def close(self) -> None:
-        """End everything that was started here."""
+        """Stop all processes, proxies and fakes."""
         for node in self.nodes.values():
             if node.process is not None and node.process.poll() is None:
                 node.process.kill()
                 node.process.wait()
-            for one in (node.caller, node.store, node.coordinator):
-                if one is not None:
-                    one.close()
+            for part in (node.caller, node.store, node.coordinator):
+                if part is not None:
+                    part.close()
         for server in self.all_servers:
             server.close()
-        for way in self.datagram_proxies:
-            way.close()
+        for proxy in self.datagram_proxies:
+            proxy.close()
         self.coordinator.close()
         self.gateway.close()
         self._folder.cleanup()
--- a/pearloom/fakes/fleet/script.py
+++ b/pearloom/fakes/fleet/script.py
@@ -1,4 +1,4 @@
-"""Faults as typed steps with times; a run is its seed and its script."""
+"""Faults as typed steps with times; seed and script together determine a run."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class Fault(Enum):
-    """What a step does to a softswitch, or to its way to the store."""
+    """What a step does to a softswitch, or to its connections to the store."""
 
     KILL = "kill"
     STOP = "stop"  # SIGSTOP
     WAKE = "wake"  # SIGCONT
     START = "start"
-    CUT = "cut"  # nothing passes between it and the store
-    CUT_THERE = "cut there"  # its words do not come to the store
-    CUT_BACK = "cut back"  # the store's words do not come to it
-    RESET = "reset"  # its connections to the store break
+    CUT = "cut"  # no data passes between the softswitch and the store
+    CUT_THERE = "cut there"  # no data from the softswitch reaches the store
+    CUT_BACK = "cut back"  # no data from the store reaches the softswitch
+    RESET = "reset"  # its connections to the store are reset
     HEAL = "heal"
-    STORE_PAUSE = "pause the store"  # of the whole fleet; the name does not matter
+    STORE_PAUSE = "pause the store"  # for the whole fleet; the step's name is not used
     STORE_GO = "the store goes on"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step, so long after the script began."""
+    """One fault, `at_ms` after the script began, at the softswitch `name`."""
 
     at_ms: float
     act: Fault
@@ -39,14 +39,14 @@
 
 
 def play(rig: Rig, steps: Sequence[Step]) -> None:
-    """Do each step at its time; returns after the last."""
+    """Run each step at its time, and return after the last."""
     began = time.monotonic()
     for step in sorted(steps, key=lambda step: step.at_ms):
         gevent.sleep(max(began + step.at_ms / 1000.0 - time.monotonic(), 0.0))
-        _do(rig, step)
+        _run_step(rig, step)
 
 
-def _do(rig: Rig, step: Step) -> None:
+def _run_step(rig: Rig, step: Step) -> None:
     if step.act in (Fault.STORE_PAUSE, Fault.STORE_GO):
         rig.gateway.faults.paused = step.act is Fault.STORE_PAUSE
         return
