--- a/pearloom/fakes/etcd/__init__.py
+++ b/pearloom/fakes/etcd/__init__.py
@@ -1,4 +1,4 @@
-"""A fake of the published etcd v3 JSON gateway, on loopback, with faults: for tests and benchmarks."""
+"""A fake of etcd's published v3 JSON gateway, on loopback, with faults: for tests and benchmarks."""
 
 from pearloom.fakes.etcd.gateway import Gateway, StoreFaults
 from pearloom.fakes.etcd.store import Compacted, KeyValueStore
--- a/pearloom/fakes/etcd/gateway.py
+++ b/pearloom/fakes/etcd/gateway.py
@@ -1,7 +1,7 @@
 """The fake store's JSON gateway over HTTP on loopback, served by gevent's own WSGI server.
 
-After etcd's `rpc.swagger.json` (v3.5): bytes as base64, 64-bit numbers as text in answers, a stream of JSON
-lines for watches. A gateway belongs to the process that starts it; faults are set on `faults` at any time.
+It follows etcd's `rpc.swagger.json` (v3.5): bytes as base64, 64-bit numbers as text in answers, a stream of
+JSON lines for watches. A gateway runs in the process that starts it; faults are set on `faults` at any time.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 _CAMEL = {"rangeEnd": "range_end", "createRevision": "create_revision", "modRevision": "mod_revision",
           "requestPut": "request_put", "requestRange": "request_range", "startRevision": "start_revision",
           "requestDeleteRange": "request_delete_range", "createRequest": "create_request"}  # fmt: skip
-PROGRESS_S = 1.0  # a watch looks so often whether the store was exchanged under it, if nobody wakes it
+PROGRESS_S = 1.0  # a watch without changes checks so often whether its store has been replaced
 EXPIRE_S = 0.02
 
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong at the gateway, until it is set back."""
+    """The faults of the gateway, in force until they are cleared."""
 
-    paused: bool = False  # nothing is read or answered; connections come up
-    delay_ms: float = 0.0  # before a call takes effect
-    reply_delay_ms: float = 0.0  # after it took effect
+    paused: bool = False  # no call is processed; connections are still accepted
+    delay_ms: float = 0.0  # before a call is processed
+    reply_delay_ms: float = 0.0  # after it was processed, before the reply
     lose_replies: int = 0  # of the next writes: they take effect, then the connection is reset
-    refuse: bool = False  # each call: 503, without effect
+    refuse: bool = False  # each call gets 503, without effect
 
 
 class _Handler(WSGIHandler):
-    """Hands the connection on, so that a fault can break it."""
+    """Passes the connection to the application, so that a fault can break it."""
 
     def get_environ(self) -> dict[str, Any]:
         environ: dict[str, Any] = super().get_environ()
@@ -51,20 +51,20 @@
         return environ
 
 
-def _read(told: Any) -> Any:
-    """The call's values as the store takes them, whichever of the two spellings proto3 allows was used."""
-    if isinstance(told, list):
-        return [_read(one) for one in told]
-    if not isinstance(told, dict):
-        return told
+def _decode_values(body: Any) -> Any:
+    """Decode a call's values for the store; proto3 allows camelCase and snake_case names."""
+    if isinstance(body, list):
+        return [_decode_values(item) for item in body]
+    if not isinstance(body, dict):
+        return body
     values = {}
-    for name, value in told.items():
+    for name, value in body.items():
         name = _CAMEL.get(name, name)
         if name in _BYTES:
             value = b64decode(value)
         elif name in _NUMBERS:
             value = int(value)
-        values[name] = _read(value)
+        values[name] = _decode_values(value)
     return values
 
 
@@ -72,29 +72,29 @@
     return b64encode(value).decode("ascii")
 
 
-def _held(held: KeyValue) -> dict[str, Any]:
-    """A key-value of an answer; proto3 leaves out what is 0 or empty."""
-    told: dict[str, Any] = {"key": _text(held.key), "mod_revision": str(held.mod_revision)}
-    if held.version:
-        told |= {
-            "create_revision": str(held.create_revision),
-            "version": str(held.version),
-            "value": _text(held.value),
+def _encode_key_value(key_value: KeyValue) -> dict[str, Any]:
+    """Encode a key-value for an answer; proto3 omits values that are 0 or empty."""
+    fields: dict[str, Any] = {"key": _text(key_value.key), "mod_revision": str(key_value.mod_revision)}
+    if key_value.version:
+        fields |= {
+            "create_revision": str(key_value.create_revision),
+            "version": str(key_value.version),
+            "value": _text(key_value.value),
         }
-    if held.lease:
-        told["lease"] = str(held.lease)
-    return told
+    if key_value.lease:
+        fields["lease"] = str(key_value.lease)
+    return fields
 
 
 def _event(change: Change) -> dict[str, Any]:
-    return {"kv": _held(change.held), **({"type": "DELETE"} if change.deleted else {})}
+    return {"kv": _encode_key_value(change.held), **({"type": "DELETE"} if change.deleted else {})}
 
 
 class Gateway:
     """One store on one port of loopback, from `start` to `close`; `clock` gives the time in ms."""
 
     def __init__(self, store: KeyValueStore | None = None, clock: Callable[[], float] | None = None) -> None:
-        """Not listening yet."""
+        """Start without listening."""
         self.store = store or KeyValueStore()
         self.faults = StoreFaults()
         self.calls: dict[str, int] = {}  # by path, for measurements
@@ -105,7 +105,7 @@
         self.address: Address = ("127.0.0.1", 0)
 
     def start(self) -> None:
-        """Listen, after a restart at the address of before."""
+        """Listen; after a restart, at the same address as before."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self.address)
@@ -118,7 +118,7 @@
         self._expiring = gevent.spawn(self._expire)
 
     def close(self) -> None:
-        """Stop listening; open connections end."""
+        """Stop listening, and end open connections."""
         if self._server is not None:
             self._server.stop(timeout=0.1)
             self._server = None
@@ -126,7 +126,7 @@
             self._expiring.kill()
 
     def restart(self, without_last_writes: bool = False) -> None:
-        """End and come back, with all that was written or with what was saved last."""
+        """Restart, with all writes or with the state that was saved last."""
         self.close()
         self.store = self.store.restarted(without_last_writes)
         self.start()
@@ -143,7 +143,6 @@
         self._changed.set()
         self._changed.clear()
 
-    # --- one call -------------------------------------------------------------------------------------------
     def _serve(self, environ: dict[str, Any], start: Callable[..., Any]) -> Iterable[bytes]:
         path = str(environ["PATH_INFO"])
         body = environ["wsgi.input"].read()
@@ -152,32 +151,34 @@
         gevent.sleep(self.faults.delay_ms / 1000.0)
         self.calls[path] = self.calls.get(path, 0) + 1
         if self.faults.refuse:
-            return self._say(start, "503 Service Unavailable", {"error": "etcdserver: no leader", "code": 14})
+            return self._respond(
+                start, "503 Service Unavailable", {"error": "etcdserver: no leader", "code": 14}
+            )
         if path == "/version":
-            return self._say(start, "200 OK", {"etcdserver": "3.5.0", "etcdcluster": "3.5.0"})
+            return self._respond(start, "200 OK", {"etcdserver": "3.5.0", "etcdcluster": "3.5.0"})
         before = self.store.revision
         self.store.expire(self._clock())
         try:
-            told = _read(json.loads(body or b"{}"))
+            request = _decode_values(json.loads(body or b"{}"))
             if path == "/v3/watch":
-                return self._watch(start, told["create_request"])
-            answer = self._answer(path, told)
-        except NotFound as trouble:
-            return self._say(start, "404 Not Found", {"error": str(trouble), "code": 5})
-        except (ValueError, KeyError, TypeError, AttributeError) as trouble:
-            return self._say(start, "400 Bad Request", {"error": str(trouble), "code": 3})
+                return self._watch(start, request["create_request"])
+            answer = self._answer(path, request)
+        except NotFound as error:
+            return self._respond(start, "404 Not Found", {"error": str(error), "code": 5})
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            return self._respond(start, "400 Bad Request", {"error": str(error), "code": 3})
         if answer is None:
-            return self._say(start, "404 Not Found", {"error": "Not Found", "code": 5})
+            return self._respond(start, "404 Not Found", {"error": "Not Found", "code": 5})
         if self.store.revision != before:
             self._wake()
             if self.faults.lose_replies > 0:
                 self.faults.lose_replies -= 1
                 environ["pearloom.socket"].shutdown(socket.SHUT_RDWR)
         gevent.sleep(self.faults.reply_delay_ms / 1000.0)
-        return self._say(start, "200 OK", answer)
+        return self._respond(start, "200 OK", answer)
 
-    def _say(self, start: Callable[..., Any], status: str, told: Mapping[str, Any]) -> list[bytes]:
-        data = json.dumps(told).encode()
+    def _respond(self, start: Callable[..., Any], status: str, body: Mapping[str, Any]) -> list[bytes]:
+        data = json.dumps(body).encode()
         start(status, [("Content-Type", "application/json"), ("Content-Length", str(len(data)))])
         return [data]
 
@@ -185,61 +186,65 @@
         return {"cluster_id": str(self.store.cluster), "member_id": "1", "revision": str(self.store.revision),
                 "raft_term": "2"}  # fmt: skip
 
-    def _answer(self, path: str, told: dict[str, Any]) -> dict[str, Any] | None:
+    def _answer(self, path: str, request: dict[str, Any]) -> dict[str, Any] | None:
         store, now = self.store, self._clock()
-        told_more: dict[str, Any]
+        result_fields: dict[str, Any]
         match path:
             case "/v3/maintenance/status":
-                told_more = {"version": "3.5.0"}
+                result_fields = {"version": "3.5.0"}
             case "/v3/lease/grant":
-                number = store.grant(told.get("TTL", 0), now, told.get("ID", 0))
-                told_more = {"ID": str(number), "TTL": str(told["TTL"])}
+                number = store.grant(request.get("TTL", 0), now, request.get("ID", 0))
+                result_fields = {"ID": str(number), "TTL": str(request["TTL"])}
             case "/v3/lease/keepalive":
-                left = store.keep_alive(told["ID"], now)
+                left = store.keep_alive(request["ID"], now)
                 result = {
                     "header": self._header(),
-                    "ID": str(told["ID"]),
+                    "ID": str(request["ID"]),
                     **({"TTL": str(left)} if left else {}),
                 }
                 return {"result": result}
             case "/v3/lease/revoke" | "/v3/kv/lease/revoke":
-                store.revoke(told["ID"])
-                told_more = {}
+                store.revoke(request["ID"])
+                result_fields = {}
             case "/v3/lease/timetolive" | "/v3/kv/lease/timetolive":
-                left, granted, keys = store.time_to_live(told["ID"], now)
-                told_more = {"ID": str(told["ID"]), "TTL": str(left), "grantedTTL": str(granted)}
-                if told.get("keys"):
-                    told_more["keys"] = [_text(key) for key in keys]
+                left, granted, keys = store.time_to_live(request["ID"], now)
+                result_fields = {"ID": str(request["ID"]), "TTL": str(left), "grantedTTL": str(granted)}
+                if request.get("keys"):
+                    result_fields["keys"] = [_text(key) for key in keys]
             case "/v3/kv/range":
-                told_more = self._range(store.range(told["key"], told.get("range_end", b"")))
+                result_fields = self._range(store.range(request["key"], request.get("range_end", b"")))
             case "/v3/kv/put":
-                store.put(told["key"], told.get("value", b""), told.get("lease", 0))
-                told_more = {}
+                store.put(request["key"], request.get("value", b""), request.get("lease", 0))
+                result_fields = {}
             case "/v3/kv/deleterange":
-                gone = store.delete(told["key"], told.get("range_end", b""))
-                told_more = {"deleted": str(gone)} if gone else {}
+                deleted = store.delete(request["key"], request.get("range_end", b""))
+                result_fields = {"deleted": str(deleted)} if deleted else {}
             case "/v3/kv/compaction":
-                store.compact(told["revision"])
-                told_more = {}
+                store.compact(request["revision"])
+                result_fields = {}
             case "/v3/kv/txn":
-                told_more = self._transact(told)
+                result_fields = self._transact(request)
             case _:
                 return None
-        return {"header": self._header(), **told_more}
+        return {"header": self._header(), **result_fields}
 
     def _range(self, found: list[KeyValue]) -> dict[str, Any]:
-        return {"kvs": [_held(one) for one in found], "count": str(len(found))} if found else {}
+        return (
+            {"kvs": [_encode_key_value(key_value) for key_value in found], "count": str(len(found))}
+            if found
+            else {}
+        )
 
-    def _transact(self, told: dict[str, Any]) -> dict[str, Any]:
+    def _transact(self, request: dict[str, Any]) -> dict[str, Any]:
         def operations(name: str) -> list[tuple[str, Mapping[str, Any]]]:
             return [
-                (kind.removeprefix("request_"), {"value": b"", **one} if kind == "request_put" else one)
-                for operation in told.get(name) or ()
-                for kind, one in operation.items()
+                (kind.removeprefix("request_"), {"value": b"", **fields} if kind == "request_put" else fields)
+                for operation in request.get(name) or ()
+                for kind, fields in operation.items()
             ]
 
         succeeded, answers = self.store.transact(
-            told.get("compare") or (), operations("success"), operations("failure")
+            request.get("compare") or (), operations("success"), operations("failure")
         )
         responses: list[dict[str, Any]] = []
         for kind, answer in answers:
@@ -247,34 +252,33 @@
             responses.append({f"response_{kind}": {"header": self._header(), **more}})
         return {**({"succeeded": True} if succeeded else {}), "responses": responses}
 
-    # --- watches --------------------------------------------------------------------------------------------
-    def _watch(self, start: Callable[..., Any], told: dict[str, Any]) -> Iterable[bytes]:
+    def _watch(self, start: Callable[..., Any], request: dict[str, Any]) -> Iterable[bytes]:
         start("200 OK", [("Content-Type", "application/json")])
-        return self._changes(told)
+        return self._changes(request)
 
-    def _changes(self, told: dict[str, Any]) -> Iterable[bytes]:
-        """The watch's answers; it ends when its revision is compacted away, or the store is another one."""
+    def _changes(self, request: dict[str, Any]) -> Iterable[bytes]:
+        """Yield a watch's answers, until its revision is compacted or the store is replaced."""
         store, server = self.store, self._server
-        sought = told.get("start_revision", 0) or store.revision + 1
+        next_revision = request.get("start_revision", 0) or store.revision + 1
         yield self._line({"created": True})
         while self._server is server:
             while self.faults.paused:
                 gevent.sleep(0.01)
             try:
-                changes = store.since(sought, told["key"], told.get("range_end", b""))
-            except Compacted as trouble:
+                changes = store.since(next_revision, request["key"], request.get("range_end", b""))
+            except Compacted as error:
                 reason = {
                     "canceled": True,
                     "compact_revision": str(store.compacted),
-                    "cancel_reason": str(trouble),
+                    "cancel_reason": str(error),
                 }
                 yield self._line(reason)
                 return
-            sought = store.revision + 1
+            next_revision = store.revision + 1
             if changes:
                 yield self._line({"events": [_event(change) for change in changes]})
             else:
                 self._changed.wait(PROGRESS_S)
 
-    def _line(self, told: Mapping[str, Any]) -> bytes:
-        return json.dumps({"result": {"header": self._header(), **told}}).encode() + b"\n"
+    def _line(self, fields: Mapping[str, Any]) -> bytes:
+        return json.dumps({"result": {"header": self._header(), **fields}}).encode() + b"\n"
