--- a/pearloom/fakes/callers.py
+++ b/pearloom/fakes/callers.py
@@ -85,7 +85,7 @@
             sock.sendall(data)
         except OSError:
             self._sock = None
-            self._connection().sendall(data)  # the server was closing the idle connection
+            self._connection().sendall(data)  # the softswitch closed the idle connection at the same moment
         gevent.spawn_later((request.patience_ms + SLACK_MS) / 1000.0, self._give_up, request.call)
         if holds_ms < math.inf:
             gevent.spawn_later(holds_ms / 1000.0, self._release_established, request.call)
