--- a/benchmarks/iax2.py
+++ b/benchmarks/iax2.py
@@ -14,31 +14,31 @@
 
 import gevent
 
-from pearloom.fakes.journal import What
-from pearloom.fakes.script import Manner
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.journal import EntryKind
+from pearloom.fakes.script import ServerProfile
+from pearloom.fakes.testbed import Testbed
 
 PAIRS = (("binary", "sip"), ("binary", "iax2"), ("iax2", "sip"), ("iax2", "iax2"))
-STEADY = Manner(after_ms=(5.0, 20.0), holds_ms=500.0)
-LONG = Manner(after_ms=(5.0, 20.0), holds_ms=3_600_000.0)
+STEADY = ServerProfile(delay_ms=(5.0, 20.0), mean_hold_ms=500.0)
+LONG = ServerProfile(delay_ms=(5.0, 20.0), mean_hold_ms=3_600_000.0)
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def _start_stage(pair: tuple[str, str], manner: Manner, seed: int) -> Stage:
+def _start_stage(pair: tuple[str, str], manner: ServerProfile, seed: int) -> Testbed:
     servers = (manner, manner)
-    stage = Stage(seed, sip=servers if pair[1] == "sip" else (), iax2=servers if pair[1] == "iax2" else ())
+    stage = Testbed(seed, sip=servers if pair[1] == "sip" else (), iax2=servers if pair[1] == "iax2" else ())
     stage.start()
     stage.add_callers(binary=4 if pair[0] == "binary" else 0, iax2=4 if pair[0] == "iax2" else 0)
     return stage
 
 
-def _cpu_s(stage: Stage) -> float:
+def _cpu_s(stage: Testbed) -> float:
     assert stage.process is not None
     fields = Path(f"/proc/{stage.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def _memory_kb(stage: Stage) -> float:
+def _memory_kb(stage: Testbed) -> float:
     assert stage.process is not None
     return (
         int(Path(f"/proc/{stage.process.pid}/statm").read_text().split()[1])
@@ -56,11 +56,11 @@
         before = _cpu_s(stage)
         gevent.sleep(seconds)
         idle = _cpu_s(stage) - before
-        answered_before = sum(entry.what is What.STANDS for entry in stage.journal.entries)
+        answered_before = sum(entry.kind is EntryKind.ESTABLISHED for entry in stage.journal.entries)
         before = _cpu_s(stage)
         stage.play(rate, seconds, leaves=0.0)
         busy = _cpu_s(stage) - before
-        calls = sum(entry.what is What.STANDS for entry in stage.journal.entries) - answered_before
+        calls = sum(entry.kind is EntryKind.ESTABLISHED for entry in stage.journal.entries) - answered_before
     finally:
         stage.close()
     if calls < 0.95 * rate * seconds:
@@ -76,10 +76,12 @@
     try:
         stage.play(200, 1.0, leaves=0.0)
         gevent.sleep(1.0)
-        before, established = _memory_kb(stage), sum(server.standing for server in stage.servers)
+        before, established = _memory_kb(stage), sum(server.established_calls for server in stage.servers)
         stage.play(200, calls / 200, leaves=0.0)
         gevent.sleep(2.0)
-        return (_memory_kb(stage) - before) / (sum(server.standing for server in stage.servers) - established)
+        return (_memory_kb(stage) - before) / (
+            sum(server.established_calls for server in stage.servers) - established
+        )
     finally:
         stage.close()
 
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from pearloom.fakes.fleet.days import Day, Played, play_day
+from pearloom.fakes.fleet.days import Day, DayResult, simulate_day
 
 RATE = 0.01
 BASE = (0.01, 0.02, 0.002)  # shares of calls: late, refused, failed
@@ -45,9 +45,9 @@
     return cases
 
 
-def simulate_day(day: Day, seed: int) -> Played:
+def simulate_at_rate(day: Day, seed: int) -> DayResult:
     """Play one day; a top-level function, so that a worker process can run it."""
-    return play_day(day, seed, RATE)
+    return simulate_day(day, seed, RATE)
 
 
 def plot(curves: dict[str, list[float]]) -> Path:
@@ -75,13 +75,13 @@
     with ProcessPoolExecutor() as pool:
         harmless = Table("harmless rollouts", "days", "false halts", "share", "stated")
         for name, day in HARMLESS.items():
-            results = list(pool.map(partial(simulate_day, day), range(days), chunksize=8))
+            results = list(pool.map(partial(simulate_at_rate, day), range(days), chunksize=8))
             false_halts = sum(result.halted_s is not None for result in results)
             harmless.add_row(name, str(days), str(false_halts), f"{false_halts / days:.4f}", f"{RATE:g}")
         console.print(harmless)
         table = Table("softswitches, traffic", "fails more", "halted", "median s", "worst s", "median calls")
         for name, worse, day in regressions():
-            results = list(pool.map(partial(simulate_day, day), range(REPEATS)))
+            results = list(pool.map(partial(simulate_at_rate, day), range(REPEATS)))
             times = [result.halted_s for result in results if result.halted_s is not None]
             calls = [result.calls for result in results if result.halted_s is not None]
             curves[f"{name}, 1 in {round(1 / worse)}"] = times
--- a/benchmarks/undo.py
+++ b/benchmarks/undo.py
@@ -36,7 +36,7 @@
     """Undo once; return the milliseconds until all have confirmed."""
     number = int(rig.head()["number"]) + 1
     started_s = time.monotonic()
-    request = gevent.spawn(rig.ask, at, "POST", "/v1/rules/undo")
+    request = gevent.spawn(rig.management_call, at, "POST", "/v1/rules/undo")
     took_s = wait_until_confirmed(rig, number, names) - started_s
     status, text = request.get()
     assert status == 200, text
@@ -47,12 +47,15 @@
     """Print median and worst time, with all processes running and with one stopped."""
     processes = int(sys.argv[1]) if len(sys.argv) > 1 else 16
     repeats = int(sys.argv[2]) if len(sys.argv) > 2 else 50
-    rig = Rig(61, processes, turns={"floor": 0.3})
+    rig = Rig(61, processes, maintenance={"floor": 0.3})
     table = Table("softswitches", "state", "undos", "median ms", "worst ms", "writes to the store per undo")
     try:
         rig.start()
         names = set(rig.nodes)
-        rig.until(lambda: rig.ask("n1", "GET", "/v1/members")[1].count("condition=live") == processes, 30.0)
+        rig.wait_until(
+            lambda: rig.management_call("n1", "GET", "/v1/members")[1].count("condition=live") == processes,
+            30.0,
+        )
         rig.propose("n1", RULES, 0, at_once=True)
         wait_until_confirmed(rig, 1, names)
         load = gevent.spawn(rig.play, 100.0, 600.0)
--- a/pearloom/commands.py
+++ b/pearloom/commands.py
@@ -23,10 +23,10 @@
 
     Prints the outcomes of calls by class and protocols, and the violated rules; exit code 1 if there are any.
     """
-    from pearloom.fakes.stage import Stage
+    from pearloom.fakes.testbed import Testbed
 
     console = Console()
-    stage = Stage(seed)
+    stage = Testbed(seed)
     try:
         stage.start()
         stage.add_callers(binary=3, iax2=3)
@@ -40,22 +40,24 @@
         report = stage.report(done=settled)
     finally:
         code = stage.close()
-    outcomes = sorted({key[3] for key in report.ends})
+    outcomes = sorted({key[3] for key in report.outcomes})
     table = Table(
         "class", "caller", "last server", *(outcome.lower().replace("_", " ") for outcome in outcomes)
     )
     rows: dict[tuple[str, str, str], Counter[str]] = {}
-    for (class_name, caller, server, outcome), count in report.ends.items():
+    for (class_name, caller, server, outcome), count in report.outcomes.items():
         rows.setdefault((class_name, caller, server), Counter())[outcome] += count
     for key, counts in sorted(rows.items()):
         table.add_row(*key, *(str(counts[outcome]) for outcome in outcomes))
     console.print(table)
     attempts = ", ".join(f"{server} {count}" for server, count in sorted(report.attempts.items()))
-    console.print(f"attempts: {attempts}; {report.crossed} calls went over both protocols")
-    for broken in report.broken[:20]:
+    console.print(f"attempts: {attempts}; {report.mixed_protocol_calls} calls went over both protocols")
+    for broken in report.violations[:20]:
         console.print(f"broken: {broken.rule}: {broken.call} {broken.detail}", style="red")
-    console.print(f"rules broken: {len(report.broken)}; all ended: {settled}; softswitch's exit code: {code}")
-    return 0 if settled and not report.broken and code == 0 else 1
+    console.print(
+        f"rules broken: {len(report.violations)}; all ended: {settled}; softswitch's exit code: {code}"
+    )
+    return 0 if settled and not report.violations and code == 0 else 1
 
 
 def main() -> None:
--- a/pearloom/fakes/coordinator.py
+++ b/pearloom/fakes/coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator: the whole list first, then numbered changes, an empty frame a second."""
+"""A fake coordinator: the whole pool list first, then numbered changes, and an empty frame every second."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from pearloom.core.config import Address
-from pearloom.fakes.journal import Journal, What
+from pearloom.fakes.journal import EntryKind, Journal
 
 _FRAME = struct.Struct(">IQB")
 _RECORD = struct.Struct(">IIHBBBHIQ")
@@ -17,8 +17,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """One server as the coordinator knows it."""
+class ListedServer:
+    """One server of the pool list."""
 
     server: str
     address: Address
@@ -27,20 +27,20 @@
     started_ms: int = 0
 
     def record(self) -> bytes:
-        """Its 27 bytes."""
+        """Return the server's record of 27 bytes on the wire."""
         host, port = self.address
-        known = int(self.server[2:], 16), int.from_bytes(socket.inet_aton(host), "big"), port
-        return _RECORD.pack(*known, STATES.index(self.state), 0, 0, self.cell, 1000, self.started_ms)
+        identity = int(self.server[2:], 16), int.from_bytes(socket.inet_aton(host), "big"), port
+        return _RECORD.pack(*identity, STATES.index(self.state), 0, 0, self.cell, 1000, self.started_ms)
 
 
-class StandInCoordinator:
-    """Tells every softswitch that connects of each change since the one it names."""
+class FakeCoordinator:
+    """Sends every softswitch that connects all events since the index that it asks from."""
 
-    def __init__(self, journal: Journal, servers: list[Listed]) -> None:
-        """Listen; the first event is the list of these servers."""
+    def __init__(self, journal: Journal, servers: list[ListedServer]) -> None:
+        """Listen on loopback; the first event is the list of these servers."""
         self._journal = journal
-        self._events: list[tuple[int, bytes]] = [(1, b"".join(one.record() for one in servers))]
-        self.servers = {one.server: one for one in servers}
+        self._events: list[tuple[int, bytes]] = [(1, b"".join(server.record() for server in servers))]
+        self.servers = {server.server: server for server in servers}
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(8)
@@ -48,20 +48,20 @@
         self._peers: list[tuple[socket.socket, int]] = []
         self._accepting = gevent.spawn(self._accept)
 
-    def known(self) -> dict[str, object]:
-        """The list as a softswitch's configuration has it."""
+    def cached_list(self) -> dict[str, object]:
+        """Return the first list in the form of a softswitch's configuration."""
         hosts = [
-            {"host": one.server, "dial": "{}:{}".format(*one.address), "block": one.cell,
-             "health": "in_service", "born_ms": one.started_ms}
-            for one in self.servers.values()
+            {"host": server.server, "dial": "{}:{}".format(*server.address), "block": server.cell,
+             "health": "in_service", "born_ms": server.started_ms}
+            for server in self.servers.values()
         ]  # fmt: skip
         return {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": True, "hosts": hosts}}]}
 
-    def tell(self, listed: Listed) -> None:
-        """A server's state is another from now on."""
+    def announce(self, listed: ListedServer) -> None:
+        """Send a server's new state to all softswitches, and record it."""
         self.servers[listed.server] = listed
         self._events.append((2, listed.record()))
-        self._journal.add(What.TOLD, listed.server, kind=listed.state)
+        self._journal.add(EntryKind.STATE_CHANGED, listed.server, label=listed.state)
         for sock, _ in self._peers:
             self._write(sock, len(self._events))
 
@@ -90,7 +90,7 @@
             pass
 
     def close(self) -> None:
-        """Tell nobody anything more."""
+        """Stop listening and close all connections."""
         self._accepting.kill()
         self._listener.close()
         for sock, _ in self._peers:
--- a/pearloom/fakes/fleet/__init__.py
+++ b/pearloom/fakes/fleet/__init__.py
@@ -1,8 +1,18 @@
-"""The fleet rig: several real softswitch processes, all that surrounds them, and faults between any two."""
+"""The fleet rig: several real softswitch processes, fakes of the systems around them, and injected faults."""
 
-from pearloom.fakes.fleet.history import broken_rules, broken_slots
-from pearloom.fakes.fleet.proxy import Proxy, Toxics
+from pearloom.fakes.fleet.history import rule_violations, slot_violations
+from pearloom.fakes.fleet.proxy import LinkFaults, Proxy
 from pearloom.fakes.fleet.rig import Node, Rig
-from pearloom.fakes.fleet.script import Act, Step, play
+from pearloom.fakes.fleet.script import Fault, Step, play
 
-__all__ = ["Act", "Node", "Proxy", "Rig", "Step", "Toxics", "broken_rules", "broken_slots", "play"]
+__all__ = [
+    "Fault",
+    "Node",
+    "Proxy",
+    "Rig",
+    "Step",
+    "LinkFaults",
+    "rule_violations",
+    "slot_violations",
+    "play",
+]
--- a/pearloom/fakes/fleet/script.py
+++ b/pearloom/fakes/fleet/script.py
@@ -1,4 +1,4 @@
-"""Faults as typed steps with times; a run is its seed and its script."""
+"""Faults as typed steps with times; seed and script together determine a run."""
 
 from __future__ import annotations
 
@@ -13,61 +13,61 @@
 from pearloom.fakes.fleet.rig import Rig
 
 
-class Act(Enum):
-    """What a step does to a softswitch, or to its way to the store."""
+class Fault(Enum):
+    """What a step does to a softswitch, or to its connections to the store."""
 
     KILL = "kill"
     STOP = "stop"  # SIGSTOP
     WAKE = "wake"  # SIGCONT
     START = "start"
-    CUT = "cut"  # nothing passes between it and the store
-    CUT_THERE = "cut there"  # its words do not come to the store
-    CUT_BACK = "cut back"  # the store's words do not come to it
-    RESET = "reset"  # its connections to the store break
+    CUT = "cut"  # no data passes between the softswitch and the store
+    CUT_THERE = "cut there"  # no data from the softswitch reaches the store
+    CUT_BACK = "cut back"  # no data from the store reaches the softswitch
+    RESET = "reset"  # its connections to the store are reset
     HEAL = "heal"
-    STORE_PAUSE = "pause the store"  # of the whole fleet; the name does not matter
+    STORE_PAUSE = "pause the store"  # for the whole fleet; the step's name is not used
     STORE_GO = "the store goes on"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step, so long after the script began."""
+    """One fault, `at_ms` after the script began, at the softswitch `name`."""
 
     at_ms: float
-    act: Act
+    act: Fault
     name: str = ""
 
 
 def play(rig: Rig, steps: Sequence[Step]) -> None:
-    """Do each step at its time; returns after the last."""
+    """Run each step at its time, and return after the last."""
     began = time.monotonic()
     for step in sorted(steps, key=lambda step: step.at_ms):
         gevent.sleep(max(began + step.at_ms / 1000.0 - time.monotonic(), 0.0))
-        _do(rig, step)
+        _run_step(rig, step)
 
 
-def _do(rig: Rig, step: Step) -> None:
-    if step.act in (Act.STORE_PAUSE, Act.STORE_GO):
-        rig.gateway.faults.paused = step.act is Act.STORE_PAUSE
+def _run_step(rig: Rig, step: Step) -> None:
+    if step.act in (Fault.STORE_PAUSE, Fault.STORE_GO):
+        rig.gateway.faults.paused = step.act is Fault.STORE_PAUSE
         return
     node = rig.nodes[step.name]
     match step.act:
-        case Act.KILL:
+        case Fault.KILL:
             rig.kill(step.name)
-        case Act.STOP:
-            rig.excuse(step.name)
+        case Fault.STOP:
+            rig.exclude_calls(step.name)
             node.send(signal.SIGSTOP)
-        case Act.WAKE:
+        case Fault.WAKE:
             node.send(signal.SIGCONT)
-        case Act.START:
+        case Fault.START:
             rig.start(step.name)
-        case Act.CUT:
+        case Fault.CUT:
             node.store.cut()
-        case Act.CUT_THERE:
+        case Fault.CUT_THERE:
             node.store.cut(back=False)
-        case Act.CUT_BACK:
+        case Fault.CUT_BACK:
             node.store.cut(there=False)
-        case Act.RESET:
+        case Fault.RESET:
             node.store.reset()
-        case Act.HEAL:
+        case Fault.HEAL:
             node.store.heal()
--- a/pearloom/fakes/script.py
+++ b/pearloom/fakes/script.py
@@ -1,4 +1,4 @@
-"""What a fake does with each set-up, drawn from a seed; and a path that loses, doubles and reorders."""
+"""What a fake server does with each set-up, drawn from a seed; and a lossy path for datagrams."""
 
 from __future__ import annotations
 
@@ -14,75 +14,75 @@
     """What a session server does with a set-up."""
 
     ANSWER = "answer"
-    TURN = "refuse with a cause"
-    MUTE = "acknowledge and say nothing more"
-    DEAF = "take no notice at all"
-    SPOIL = "answer with something that can't be used"
+    REFUSE = "refuse with a cause"
+    NO_ANSWER = "acknowledge and send nothing more"
+    IGNORE = "send nothing at all"
+    MALFORMED = "answer with a message that can't be used"
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
-    """One set-up's fate."""
+class Handling:
+    """How one set-up is handled."""
 
     behaviour: Behaviour = Behaviour.ANSWER
-    after_ms: float = 20.0
-    holds_ms: float = 2_000.0
-    cause: int = 42  # Q.850, for TURN
+    delay_ms: float = 20.0
+    hold_ms: float = 2_000.0
+    cause: int = 42  # Q.850, for REFUSE
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
+class ServerProfile:
     """How a fake server behaves; shares are of all set-ups."""
 
-    after_ms: tuple[float, float] = (5.0, 40.0)
-    holds_ms: float = 2_000.0  # on average, exponential
-    turns: float = 0.0
+    delay_ms: tuple[float, float] = (5.0, 40.0)
+    mean_hold_ms: float = 2_000.0  # of an exponential distribution
+    refused_share: float = 0.0
     causes: tuple[int, ...] = (42,)
-    mutes: float = 0.0
-    deaf: float = 0.0
-    spoils: float = 0.0
+    unanswered_share: float = 0.0
+    ignored_share: float = 0.0
+    malformed_share: float = 0.0
     description_bytes: int = 60
 
-    def draw(self, random: Random) -> Act:
-        """The fate of the next set-up."""
-        after, holds = random.uniform(*self.after_ms), random.expovariate(1.0 / self.holds_ms)
-        luck, cause = random.random(), random.choice(self.causes)
+    def draw(self, random: Random) -> Handling:
+        """Draw how the next set-up is handled."""
+        delay, hold = random.uniform(*self.delay_ms), random.expovariate(1.0 / self.mean_hold_ms)
+        drawn, cause = random.random(), random.choice(self.causes)
         for share, behaviour in (
-            (self.turns, Behaviour.TURN),
-            (self.mutes, Behaviour.MUTE),
-            (self.deaf, Behaviour.DEAF),
-            (self.spoils, Behaviour.SPOIL),
+            (self.refused_share, Behaviour.REFUSE),
+            (self.unanswered_share, Behaviour.NO_ANSWER),
+            (self.ignored_share, Behaviour.IGNORE),
+            (self.malformed_share, Behaviour.MALFORMED),
         ):
-            if luck < share:
-                return Act(behaviour, after, holds, cause)
-            luck -= share
-        return Act(Behaviour.ANSWER, after, holds, cause)
+            if drawn < share:
+                return Handling(behaviour, delay, hold, cause)
+            drawn -= share
+        return Handling(Behaviour.ANSWER, delay, hold, cause)
 
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What a path does to datagrams; shares of them."""
+    """What a path does to datagrams; shares are of all datagrams."""
 
-    loses: float = 0.0
-    doubles: float = 0.0
-    delays: float = 0.0  # by up to `by_ms`, and so past others
-    by_ms: float = 60.0
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
+    delay_share: float = 0.0  # delayed by up to `max_delay_ms`, and so overtaken by others
+    max_delay_ms: float = 60.0
 
 
-class Path:
-    """A lossy way, one draw for each datagram."""
+class LossyPath:
+    """A path that draws its faults anew for each datagram."""
 
     def __init__(self, faults: Faults, seed: int) -> None:
-        """A run is its seed."""
+        """Draw from `seed`, so that a run can be repeated."""
         self._faults, self._random = faults, Random(seed)
 
     def carry(self, data: bytes, deliver: Callable[[bytes], None]) -> None:
         """Deliver a datagram once, twice, later, or not at all."""
         faults, random = self._faults, self._random
-        if random.random() < faults.loses:
+        if random.random() < faults.loss_share:
             return
-        for _ in range(2 if random.random() < faults.doubles else 1):
-            if random.random() < faults.delays:
-                gevent.spawn_later(random.uniform(0.0, faults.by_ms) / 1000.0, deliver, data)
+        for _ in range(2 if random.random() < faults.duplicate_share else 1):
+            if random.random() < faults.delay_share:
+                gevent.spawn_later(random.uniform(0.0, faults.max_delay_ms) / 1000.0, deliver, data)
             else:
                 deliver(data)
--- a/tests/docs/test_examples.py
+++ b/tests/docs/test_examples.py
@@ -51,7 +51,7 @@
 def rig() -> Iterator[Rig]:
     fleet = Rig(51, 3)
     fleet.start()
-    fleet.until(
+    fleet.wait_until(
         lambda: all(f"member={name} condition=live" in fleet.nodes["n1"].log() for name in fleet.nodes)
     )
     yield fleet
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -10,9 +10,9 @@
 import gevent
 import pytest
 
-from pearloom.fakes.fleet import Act, Rig, Step, broken_rules, play
-from pearloom.fakes.journal import What
-from pearloom.fakes.script import Faults, Manner
+from pearloom.fakes.fleet import Fault, Rig, Step, play, rule_violations
+from pearloom.fakes.journal import EntryKind
+from pearloom.fakes.script import Faults, ServerProfile
 
 TIMES = {
     "stages": ["one", "0.5"], "soak_ms": 1_500, "evidence_ms": 30_000, "least_calls": 40, "tell_ms": 250,
@@ -33,11 +33,15 @@
 
     def start(seed: int, softswitches: int = 4, iax2_servers: int = 0, **rules: object) -> Rig:
         rig = Rig(
-            seed, softswitches, iax2_servers=iax2_servers, turns={"floor": 0.3}, rules={**TIMES, **rules}
+            seed,
+            softswitches,
+            iax2_servers=iax2_servers,
+            maintenance={"floor": 0.3},
+            rules={**TIMES, **rules},
         )
         rigs.append(rig)
         rig.start()
-        rig.until(lambda: all(_all_live(rig, name) for name in rig.nodes), 15.0)
+        rig.wait_until(lambda: all(_all_live(rig, name) for name in rig.nodes), 15.0)
         return rig
 
     yield start
@@ -46,12 +50,12 @@
 
 
 def _all_live(rig: Rig, name: str) -> bool:
-    text = rig.ask(name, "GET", "/v1/members")[1]
+    text = rig.management_call(name, "GET", "/v1/members")[1]
     return all(f"member={member} condition=live" in text for member in rig.nodes)
 
 
 def rules_of(rig: Rig, name: str) -> str:
-    return rig.ask(name, "GET", "/v1/rules")[1]
+    return rig.management_call(name, "GET", "/v1/rules")[1]
 
 
 def is_confirmed(rig: Rig, name: str, head: int) -> bool:
@@ -61,8 +65,8 @@
 def assert_no_violation(rig: Rig) -> None:
     """Assert that no rule of the platform was broken and that the history of rules is consistent."""
     rig.settle()
-    assert broken_rules(rig.gateway.store) == []
-    assert [f"{violation.rule}: {violation.detail}" for violation in rig.report().broken] == []
+    assert rule_violations(rig.gateway.store) == []
+    assert [f"{violation.rule}: {violation.detail}" for violation in rig.report().violations] == []
 
 
 def stage_members(rig: Rig) -> list[str]:
@@ -74,15 +78,15 @@
     load = gevent.spawn(rig.play, 80.0, 8.0)
     rig.propose("n1", GOOD, 0)
     assert len(stage_members(rig)) == 1
-    rig.until(lambda: len(stage_members(rig)) == 2, 12.0, lambda: rules_of(rig, "n1"))
-    rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: rules_of(rig, "n1"))
+    rig.wait_until(lambda: len(stage_members(rig)) == 2, 12.0, lambda: rules_of(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: rules_of(rig, "n1"))
     version = rig.head()["version"]
-    assert version != "none" and not rig.halted()
-    rig.until(lambda: is_confirmed(rig, "n2", rig.head()["number"]))
+    assert version != "none" and not rig.halt_reason()
+    rig.wait_until(lambda: is_confirmed(rig, "n2", rig.head()["number"]))
     assert set(rig.versions().values()) == {version}
-    status, text = rig.ask("n3", "POST", "/v1/rules/undo")
+    status, text = rig.management_call("n3", "POST", "/v1/rules/undo")
     assert (status, "did=undone version=none" in text) == (200, True)
-    rig.until(lambda: is_confirmed(rig, "n4", rig.head()["number"]), 3.0)
+    rig.wait_until(lambda: is_confirmed(rig, "n4", rig.head()["number"]), 3.0)
     assert set(rig.versions().values()) == {"none"}
     load.join()
     assert_no_violation(rig)
@@ -93,11 +97,11 @@
     load = gevent.spawn(rig.play, 100.0, 15.0)
     gevent.sleep(1.0)
     rig.propose("n2", BAD, 0, stages=[0, 0.5])
-    rig.until(lambda: bool(rig.halted()), 14.0, lambda: rules_of(rig, "n1"))
-    assert "of class save-answers" in rig.halted(), rig.halted()
+    rig.wait_until(lambda: bool(rig.halt_reason()), 14.0, lambda: rules_of(rig, "n1"))
+    assert "of class save-answers" in rig.halt_reason(), rig.halt_reason()
     assert len(stage_members(rig)) == 1, "the rollout did not widen"
-    rig.until(lambda: set(rig.versions().values()) == {"none"}, 3.0)
-    rig.until(lambda: any("event=rollout did=halted" in node.log() for node in rig.nodes.values()), 2.0)
+    rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 3.0)
+    rig.wait_until(lambda: any("event=rollout did=halted" in node.log() for node in rig.nodes.values()), 2.0)
     load.kill()
     assert_no_violation(rig)
 
@@ -105,10 +109,10 @@
 def test_failures_alike_on_all_softswitches_do_not_halt_a_rollout(started: Starter) -> None:
     rig = started(33)
     for server in rig.session_servers:
-        server.manner = Manner(holds_ms=400.0, mutes=0.04)
+        server.profile = ServerProfile(mean_hold_ms=400.0, unanswered_share=0.04)
     load = gevent.spawn(rig.play, 80.0, 9.0)
     rig.propose("n2", OTHER, 0)
-    rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: rules_of(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: rules_of(rig, "n1"))
     assert rig.head()["version"] != "none"
     load.join()
     assert_no_violation(rig)
@@ -125,11 +129,11 @@
         rig.kill(name)
         rig.start(name)
     assert f"event=rules_ready version={version}" in rig.nodes[inside].log(), "before its first call"
-    rig.until(lambda: not rig.head()["rollout"], 14.0, lambda: rules_of(rig, "n1"))
+    rig.wait_until(lambda: not rig.head()["rollout"], 14.0, lambda: rules_of(rig, "n1"))
     assert rig.head()["version"] == version
     load.join()
     counted = sum(_count_calls(value) for value in _last_published(rig).values())
-    answered = sum(entry.what.name in ("STANDS", "REFUSED", "FAILED") for entry in rig.journal.entries)
+    answered = sum(entry.kind.name in ("ESTABLISHED", "REFUSED", "FAILED") for entry in rig.journal.entries)
     assert 0 < counted <= answered, "no call is counted twice"
     assert_no_violation(rig)
 
@@ -152,18 +156,18 @@
     rig = started(35, softswitches=5)
     load = gevent.spawn(rig.play, 60.0, 9.0)
     rig.propose("n1", GOOD, 0, at_once=True)
-    rig.until(lambda: is_confirmed(rig, "n1", 1))
+    rig.wait_until(lambda: is_confirmed(rig, "n1", 1))
     version = rig.head()["version"]
-    play(rig, [Step(0.0, Act.STOP, "n3"), Step(0.0, Act.CUT, "n4"), Step(0.0, Act.KILL, "n5")])
-    assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
+    play(rig, [Step(0.0, Fault.STOP, "n3"), Step(0.0, Fault.CUT, "n4"), Step(0.0, Fault.KILL, "n5")])
+    assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
     rig.start("n5")
     assert "event=rules_ready version=none" in rig.nodes["n5"].log(), "before its first call"
     for name in ("n3", "n4"):  # the undo lists them as away
         named = f"member={name} condition=away away=2"
-        rig.until(lambda named=named: named in rules_of(rig, "n1"), 8.0, lambda: rules_of(rig, "n1"))  # type: ignore[misc]
+        rig.wait_until(lambda named=named: named in rules_of(rig, "n1"), 8.0, lambda: rules_of(rig, "n1"))  # type: ignore[misc]
     assert rig.versions()["n4"] == version, "a partitioned softswitch keeps its rules"
-    play(rig, [Step(0.0, Act.WAKE, "n3"), Step(0.0, Act.HEAL, "n4")])
-    rig.until(
+    play(rig, [Step(0.0, Fault.WAKE, "n3"), Step(0.0, Fault.HEAL, "n4")])
+    rig.wait_until(
         lambda: is_confirmed(rig, "n1", 2) and "away=2" not in rules_of(rig, "n1"),
         8.0,
         lambda: rules_of(rig, "n1"),
@@ -181,8 +185,10 @@
         rules = [{"name": f"r{attempt}", "effect": {"type": "prefer", "cells": [attempt % 3]}}]
         edit = {"expected": number, "rules": rules, "at_once": True, "author": "first"}
         requests = [
-            gevent.spawn(rig.ask, "n1", "POST", "/v1/rules", edit),
-            gevent.spawn(rig.ask, "n2", "POST", "/v1/rules/undo", {"expected": number, "author": "second"}),
+            gevent.spawn(rig.management_call, "n1", "POST", "/v1/rules", edit),
+            gevent.spawn(
+                rig.management_call, "n2", "POST", "/v1/rules/undo", {"expected": number, "author": "second"}
+            ),
         ]
         gevent.joinall(requests, raise_error=True)
         replies = [request.get() for request in requests]
@@ -194,7 +200,7 @@
         accepted += len(succeeded)
         if attempt:
             assert f"the head is {number + 1} " in conflicts[0], "the conflict names the head in force"
-        rig.until(lambda number=number: rig.head()["number"] == number + 1)  # type: ignore[misc]
+        rig.wait_until(lambda number=number: rig.head()["number"] == number + 1)  # type: ignore[misc]
     assert rig.head()["number"] == accepted
     assert_no_violation(rig)
 
@@ -205,14 +211,19 @@
     rig.propose("n1", GOOD, 0, stages=[0.5])
     away = stage_members(rig)[0]
     others = [name for name in rig.nodes if name != away]
-    rig.until(lambda: rig.versions()[away] != "none")
-    play(rig, [Step(0.0, Act.CUT, away)])
-    rig.until(lambda: f"{away} has told nothing" in rig.halted(), 10.0, lambda: rules_of(rig, others[0]))
-    assert rig.ask(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0] == 503
-    assert rig.ask(others[0], "POST", "/v1/rules/undo")[0] == 200
+    rig.wait_until(lambda: rig.versions()[away] != "none")
+    play(rig, [Step(0.0, Fault.CUT, away)])
+    rig.wait_until(
+        lambda: f"{away} has told nothing" in rig.halt_reason(), 10.0, lambda: rules_of(rig, others[0])
+    )
+    assert (
+        rig.management_call(away, "POST", "/v1/rules", {"expected": 1, "rules": [], "at_once": True})[0]
+        == 503
+    )
+    assert rig.management_call(others[0], "POST", "/v1/rules/undo")[0] == 200
     assert rig.versions()[away] != "none", "calls at the partitioned softswitch still follow its rules"
-    play(rig, [Step(0.0, Act.HEAL, away)])
-    rig.until(lambda: set(rig.versions().values()) == {"none"}, 8.0, rig.nodes[away].log)
+    play(rig, [Step(0.0, Fault.HEAL, away)])
+    rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 8.0, rig.nodes[away].log)
     load.join()
     assert_no_violation(rig)
 
@@ -223,11 +234,13 @@
     gevent.sleep(7.0)  # collects its own evidence from before the rollout, which is all it can compare with
     rig.propose("n1", BAD, 0, stages=[0])
     (inside,) = stage_members(rig)
-    play(rig, [Step(0.0, Act.CUT, inside)])
-    rig.until(lambda: "event=rules_left" in rig.nodes[inside].log(), 18.0, rig.nodes[inside].log)
+    play(rig, [Step(0.0, Fault.CUT, inside)])
+    rig.wait_until(lambda: "event=rules_left" in rig.nodes[inside].log(), 18.0, rig.nodes[inside].log)
     assert rig.versions()[inside] == "none"
-    play(rig, [Step(0.0, Act.HEAL, inside)])
-    rig.until(lambda: f"{inside} went back by itself" in rig.halted(), 8.0, lambda: rules_of(rig, "n1"))
+    play(rig, [Step(0.0, Fault.HEAL, inside)])
+    rig.wait_until(
+        lambda: f"{inside} went back by itself" in rig.halt_reason(), 8.0, lambda: rules_of(rig, "n1")
+    )
     load.kill()
     assert_no_violation(rig)
 
@@ -237,27 +250,27 @@
 ) -> None:
     """A fifth of the datagrams to the IAX2 server is lost, some are doubled or delayed; then all are lost."""
     rig = started(45, softswitches=2, iax2_servers=1)
-    server, path = rig.iax2[0], rig.ways[0]
-    path.disturb(Faults(loses=0.2, doubles=0.1, delays=0.2))
+    server, path = rig.iax2[0], rig.datagram_proxies[0]
+    path.disturb(Faults(loss_share=0.2, duplicate_share=0.1, delay_share=0.2))
     load = gevent.spawn(rig.play, 40.0, 8.0)
     rig.propose("n1", [{"name": "iax2", "effect": {"type": "only", "cells": [3]}}], 0, at_once=True)
-    rig.until(lambda: is_confirmed(rig, "n2", 1))
+    rig.wait_until(lambda: is_confirmed(rig, "n2", 1))
     before = _set_ups(rig, server.server)
     gevent.sleep(2.0)
     assert _set_ups(rig, server.server) > before + 5, "calls go where the rules send them"
     path.cut()
-    assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
-    rig.until(lambda: is_confirmed(rig, "n1", 2), 3.0)
+    assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
+    rig.wait_until(lambda: is_confirmed(rig, "n1", 2), 3.0)
     load.join()
     path.heal()
-    answers = [entry for entry in rig.journal.entries if entry.what is What.STANDS]
+    answers = [entry for entry in rig.journal.entries if entry.kind is EntryKind.ESTABLISHED]
     assert answers[-1].at_ms > answers[0].at_ms + 5_000, "the other servers take the calls again"
     rig.settle(25.0)
-    assert broken_rules(rig.gateway.store) == []
+    assert rule_violations(rig.gateway.store) == []
 
 
 def _set_ups(rig: Rig, server: str) -> int:
-    return sum(entry.what is What.SET_UP and entry.who == server for entry in rig.journal.entries)
+    return sum(entry.kind is EntryKind.SET_UP and entry.party == server for entry in rig.journal.entries)
 
 
 def test_a_wall_clock_an_hour_off_has_no_effect(started: Starter) -> None:
@@ -266,14 +279,16 @@
     rig.kill("n2")
     rig.nodes["n2"].drift_s = -3_600.0
     rig.start("n2")
-    rig.until(lambda: all(_all_live(rig, name) for name in rig.nodes), 10.0, lambda: rules_of(rig, "n2"))
+    rig.wait_until(lambda: all(_all_live(rig, name) for name in rig.nodes), 10.0, lambda: rules_of(rig, "n2"))
     load = gevent.spawn(rig.play, 80.0, 6.0)
     rig.propose("n2", GOOD, 0)
-    rig.until(lambda: not rig.head()["rollout"], 12.0, lambda: rules_of(rig, "n1"))
-    assert rig.ask("n2", "POST", "/v1/rules/undo")[0] == 200
-    rig.until(lambda: is_confirmed(rig, "n3", rig.head()["number"]), 3.0)
-    (slot,) = rig.work("n2", "s-00000001")
-    rig.until(lambda: rig.phase(slot) == "draining", 8.0, lambda: rig.ask("n1", "GET", "/v1/work")[1])
+    rig.wait_until(lambda: not rig.head()["rollout"], 12.0, lambda: rules_of(rig, "n1"))
+    assert rig.management_call("n2", "POST", "/v1/rules/undo")[0] == 200
+    rig.wait_until(lambda: is_confirmed(rig, "n3", rig.head()["number"]), 3.0)
+    (slot,) = rig.request_maintenance("n2", "s-00000001")
+    rig.wait_until(
+        lambda: rig.phase(slot) == "draining", 8.0, lambda: rig.management_call("n1", "GET", "/v1/work")[1]
+    )
     load.join()
     assert_no_violation(rig)
 
@@ -281,45 +296,45 @@
 def test_an_unwritable_store_halts_a_rollout(started: Starter) -> None:
     rig = started(39, away_ms=2_000, silent_ms=60_000, soak_ms=30_000)
     rig.propose("n1", GOOD, 0)
-    rig.until(lambda: len(_last_published(rig)) >= 4)
-    play(rig, [Step(0.0, Act.STORE_PAUSE), Step(3_500.0, Act.STORE_GO)])
-    rig.until(lambda: "nobody could write to the store" in rig.halted(), 10.0, rig.nodes["n1"].log)
+    rig.wait_until(lambda: len(_last_published(rig)) >= 4)
+    play(rig, [Step(0.0, Fault.STORE_PAUSE), Step(3_500.0, Fault.STORE_GO)])
+    rig.wait_until(lambda: "nobody could write to the store" in rig.halt_reason(), 10.0, rig.nodes["n1"].log)
 
 
 def test_a_store_that_lost_its_last_writes_is_reported_and_its_older_head_ignored(started: Starter) -> None:
     rig = started(40, softswitches=3)
     rig.propose("n1", GOOD, 0, at_once=True)
-    rig.until(lambda: is_confirmed(rig, "n1", 1))
+    rig.wait_until(lambda: is_confirmed(rig, "n1", 1))
     rig.gateway.store.save()
     rig.propose("n1", OTHER, 1, at_once=True)
-    rig.until(lambda: is_confirmed(rig, "n1", 2))
+    rig.wait_until(lambda: is_confirmed(rig, "n1", 2))
     version = rig.head()["version"]
     rig.gateway.restart(without_last_writes=True)
     for node in rig.nodes.values():
-        rig.until(lambda node=node: "event=rules_diverged seen=2 told=1" in node.log(), 10.0)  # type: ignore[misc]
+        rig.wait_until(lambda node=node: "event=rules_diverged seen=2 told=1" in node.log(), 10.0)  # type: ignore[misc]
     assert set(rig.versions().values()) == {version}, "no softswitch applies the older head"
-    rig.until(lambda: "diverged seen=2" in rules_of(rig, "n2") and "fresh=true" in rules_of(rig, "n2"))
-    status, text = rig.ask("n2", "POST", "/v1/rules/undo")
+    rig.wait_until(lambda: "diverged seen=2" in rules_of(rig, "n2") and "fresh=true" in rules_of(rig, "n2"))
+    status, text = rig.management_call("n2", "POST", "/v1/rules/undo")
     assert status == 200 and rig.head()["number"] == 3, text
-    rig.until(lambda: set(rig.versions().values()) == {"none"}, 5.0)
+    rig.wait_until(lambda: set(rig.versions().values()) == {"none"}, 5.0)
     assert all("event=rules_converged" in node.log() for node in rig.nodes.values())
 
 
 def test_a_start_without_the_store_uses_the_snapshot_on_disk(started: Starter) -> None:
     rig = started(41, softswitches=2)
     rig.propose("n1", GOOD, 0, at_once=True)
-    rig.until(lambda: is_confirmed(rig, "n1", 1))
+    rig.wait_until(lambda: is_confirmed(rig, "n1", 1))
     version, path = rig.head()["version"], rig.nodes["n2"].folder / "rules"
-    rig.until(path.exists)
-    play(rig, [Step(0.0, Act.CUT, "n2"), Step(0.0, Act.KILL, "n2"), Step(0.0, Act.START, "n2")])
+    rig.wait_until(path.exists)
+    play(rig, [Step(0.0, Fault.CUT, "n2"), Step(0.0, Fault.KILL, "n2"), Step(0.0, Fault.START, "n2")])
     assert f"event=rules_ready version={version} head=1 store=False" in rig.nodes["n2"].log()
     assert "event=rules_from_snapshot head=1 age_s=" in rig.nodes["n2"].log()
     path.write_bytes(path.read_bytes()[:-9])
-    play(rig, [Step(0.0, Act.KILL, "n2"), Step(0.0, Act.START, "n2")])
+    play(rig, [Step(0.0, Fault.KILL, "n2"), Step(0.0, Fault.START, "n2")])
     assert "event=rules_snapshot_unusable" in rig.nodes["n2"].log()
     assert rig.versions()["n2"] == "none", "a truncated snapshot is not used"
-    play(rig, [Step(0.0, Act.HEAL, "n2")])
-    rig.until(lambda: rig.versions()["n2"] == version, 8.0)
+    play(rig, [Step(0.0, Fault.HEAL, "n2")])
+    rig.wait_until(lambda: rig.versions()["n2"] == version, 8.0)
 
 
 def test_a_lost_reply_to_a_successful_edit_is_reported_as_success(started: Starter) -> None:
@@ -334,7 +349,7 @@
 def single() -> Iterator[Rig]:
     rig = Rig(43, 1, rules=TIMES)
     rig.start()
-    rig.until(lambda: rig.ask("n1", "GET", "/v1/rules")[0] == 200)
+    rig.wait_until(lambda: rig.management_call("n1", "GET", "/v1/rules")[0] == 200)
     yield rig
     rig.close()
 
@@ -366,7 +381,7 @@
     single: Rig, method: str, path: str, body: bytes | None, status: int, expected: str
 ) -> None:
     before = single.gateway.store.range(b"/pearloom/rules/", b"/pearloom/rules0")
-    got, text = single.ask("n1", method, path, body)
+    got, text = single.management_call("n1", method, path, body)
     assert (got, text.count("\n")) == (status, 1) and expected in text, text
     assert single.gateway.store.range(b"/pearloom/rules/", b"/pearloom/rules0") == before
 
@@ -382,12 +397,14 @@
         single.gateway.store.put(b"/pearloom/" + key, value)
     single.gateway._wake()
     if value != b"{}":  # this decodes to the default head, as before any edit
-        single.until(lambda: "diverged seen=" in rules_of(single, "n1"), 10.0, lambda: rules_of(single, "n1"))
-    assert single.versions()["n1"] == "none" and single.nodes["n1"].runs
+        single.wait_until(
+            lambda: "diverged seen=" in rules_of(single, "n1"), 10.0, lambda: rules_of(single, "n1")
+        )
+    assert single.versions()["n1"] == "none" and single.nodes["n1"].is_running
     for key in (b"rules/head", b"rules/log/bad", b"rules/versions/bad", b"rules/at/bad", b"evidence/bad"):
         single.gateway.store.delete(b"/pearloom/" + key)
     single.gateway._wake()
-    single.until(lambda: "diverged" not in rules_of(single, "n1"))
+    single.wait_until(lambda: "diverged" not in rules_of(single, "n1"))
 
 
 def test_the_others_halt_the_rollout_of_a_softswitch_that_was_terminated(started: Starter) -> None:
@@ -395,4 +412,4 @@
     rig.propose("n1", GOOD, 0)
     (inside,) = stage_members(rig)
     rig.nodes[inside].send(signal.SIGTERM)
-    rig.until(lambda: f"{inside} has told nothing" in rig.halted(), 12.0)
+    rig.wait_until(lambda: f"{inside} has told nothing" in rig.halt_reason(), 12.0)
--- a/tests/iax2/scenes.py
+++ b/tests/iax2/scenes.py
@@ -5,16 +5,16 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from pearloom.fakes.journal import What
-from pearloom.fakes.script import Manner
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.journal import EntryKind
+from pearloom.fakes.script import ServerProfile
+from pearloom.fakes.testbed import Testbed
 
-SHORT = Manner(holds_ms=400.0)
-LONG = Manner(holds_ms=60_000.0)
+SHORT = ServerProfile(mean_hold_ms=400.0)
+LONG = ServerProfile(mean_hold_ms=60_000.0)
 
 
 @contextmanager
-def running_stage(stage: Stage, binary: int = 1, iax2: int = 1) -> Iterator[Stage]:
+def running_stage(stage: Testbed, binary: int = 1, iax2: int = 1) -> Iterator[Testbed]:
     try:
         stage.start()
         stage.add_callers(binary, iax2)
@@ -25,17 +25,17 @@
     assert code == 0
 
 
-def count(stage: Stage, what: What, party: str = "") -> int:
-    return sum(entry.what is what and party in ("", entry.who) for entry in stage.journal.entries)
+def count(stage: Testbed, what: EntryKind, party: str = "") -> int:
+    return sum(entry.kind is what and party in ("", entry.party) for entry in stage.journal.entries)
 
 
-def assert_settled(stage: Stage, timeout_s: float = 20.0) -> None:
+def assert_settled(stage: Testbed, timeout_s: float = 20.0) -> None:
     assert stage.settle(timeout_s)
     report = stage.report()
-    assert not report.broken, report.broken[:10]
+    assert not report.violations, report.violations[:10]
 
 
-def place_with_first_choice(stage: Stage, caller: int, choice: int, patience_ms: float) -> None:
-    request = stage.offer(patience_ms)
+def place_with_first_choice(stage: Testbed, caller: int, choice: int, patience_ms: float) -> None:
+    request = stage.next_set_up(patience_ms)
     request.first_choice = choice
     stage.callers[caller].place(request)
--- a/tests/iax2/test_bad_callers.py
+++ b/tests/iax2/test_bad_callers.py
@@ -14,9 +14,9 @@
 from gevent import socket
 
 from pearloom.fakes.callers import Iax2Caller
-from pearloom.fakes.journal import What
-from pearloom.fakes.script import Manner
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.journal import EntryKind
+from pearloom.fakes.script import ServerProfile
+from pearloom.fakes.testbed import Testbed
 from pearloom.iax2.frames import (
     Element,
     Elements,
@@ -34,7 +34,7 @@
 class PlainCaller:
     """A caller that sends only what RFC 5456 requires, frame by frame."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Testbed) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.connect(stage.iax2_at)
         self.sock.settimeout(4.0)
@@ -59,8 +59,8 @@
 
 
 def test_a_plain_caller_is_served_and_a_late_copy_of_its_new_is_no_second_set_up() -> None:
-    slow = Manner(after_ms=(300.0, 300.0), holds_ms=60_000.0)
-    with running_stage(Stage(19, sip=(), iax2=(slow,))) as stage:
+    slow = ServerProfile(delay_ms=(300.0, 300.0), mean_hold_ms=60_000.0)
+    with running_stage(Testbed(19, sip=(), iax2=(slow,))) as stage:
         plain = PlainCaller(stage)
         new = plain.new(plain.token())
         plain.sock.send(new)
@@ -68,19 +68,19 @@
         plain.sock.send(new)
         answer = plain.receive(4, FrameType.CONTROL)
         gevent.sleep(0.2)
-        assert count(stage, What.SET_UP) == 1
+        assert count(stage, EntryKind.SET_UP) == 1
         hangup = FullFrame(7, answer.source, 9, 1, 2, FrameType.IAX, Iax.HANGUP)
         plain.sock.send(encode_full(hangup))
         gevent.sleep(0.2)
         for _ in range(3):
             plain.sock.send(new)
         gevent.sleep(0.3)
-        assert count(stage, What.SET_UP) == 1 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.SET_UP) == 1 and stage.iax2[0].established_calls == 0
         assert stage.counters()["iax2_late_new"] == 3
 
 
 def test_the_time_of_the_token_exchange_counts_against_the_patience() -> None:
-    with running_stage(Stage(20, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
+    with running_stage(Testbed(20, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
         plain = PlainCaller(stage)
         began = time.time()
         token = plain.token()
@@ -91,69 +91,71 @@
 
 
 def test_voice_is_relayed_between_iax2_legs_and_counted_where_it_is_dropped() -> None:
-    with running_stage(Stage(9, sip=(LONG,), iax2=(LONG,)), binary=0) as stage:
+    with running_stage(Testbed(9, sip=(LONG,), iax2=(LONG,)), binary=0) as stage:
         caller = stage.callers[0]
         assert isinstance(caller, Iax2Caller)
-        requests = [stage.offer(), stage.offer()]
+        requests = [stage.next_set_up(), stage.next_set_up()]
         for choice, request in enumerate(requests):
             request.first_choice = choice
             caller.place(request)
         gevent.sleep(0.5)
         for number in range(50):
             for request in requests:
-                caller.say(request.call, number * 20, bytes(160))
+                caller.send_voice(request.call, number * 20, bytes(160))
             gevent.sleep(0.002)
         gevent.sleep(0.3)
         assert (
-            stage.iax2[0].spoken == caller.spoken == 50
+            stage.iax2[0].voice_received == caller.voice_received == 50
         ), "all frames reached the server, and its echo the caller"
         assert stage.counters()["media_dropped"] == 50
 
 
 def test_call_numbers_that_run_out_are_not_used_again_and_their_calls_go_elsewhere() -> None:
     """A trunk with four call numbers: none is reused soon, and a set-up without a number never ran."""
-    with running_stage(Stage(16, sip=(SHORT,), iax2=(Manner(holds_ms=100.0),), numbers=4)) as stage:
+    with running_stage(
+        Testbed(16, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=100.0),), numbers=4)
+    ) as stage:
         for number in range(20):
             place_with_first_choice(stage, number % 2, 1, patience_ms=4_000.0)
             gevent.sleep(0.05)
         assert_settled(stage)
-        assert count(stage, What.SET_UP, "s-00000011") == 4
+        assert count(stage, EntryKind.SET_UP, "s-00000011") == 4
         assert (
-            count(stage, What.STANDS) > 10
+            count(stage, EntryKind.ESTABLISHED) > 10
         ), "one server is unreachable for a while, and the other takes the calls"
         assert "iax2_numbers_out" in stage.log()
 
 
 def test_legs_beyond_the_limit_are_refused_with_a_retry_time() -> None:
-    with running_stage(Stage(10, sip=(LONG,), iax2=(), limits={"legs": 5}), binary=0) as stage:
+    with running_stage(Testbed(10, sip=(LONG,), iax2=(), limits={"legs": 5}), binary=0) as stage:
         for _ in range(8):
-            stage.callers[0].place(stage.offer())
+            stage.callers[0].place(stage.next_set_up())
         gevent.sleep(1.0)
-        assert count(stage, What.STANDS) == 5 and count(stage, What.REFUSED) == 3
+        assert count(stage, EntryKind.ESTABLISHED) == 5 and count(stage, EntryKind.REFUSED) == 3
 
 
 def test_half_open_legs_are_dropped_in_time_and_make_room() -> None:
     limits = {"half_open": 3, "half_open_ms": 300}
     with running_stage(
-        Stage(11, sip=(SHORT,), iax2=(), secret="kept between", limits=limits), binary=0
+        Testbed(11, sip=(SHORT,), iax2=(), secret="kept between", limits=limits), binary=0
     ) as stage:
         silent_caller = Iax2Caller(
             stage.journal, "iax-caller", stage.iax2_at, 500, None, "kept between", "127.0.0.2"
         )
-        silent_caller._event = lambda leg, event: None  # type: ignore[method-assign]
-        silent_caller._datagram = _receive_only_tokens(silent_caller)  # type: ignore[method-assign]
+        silent_caller._handle_event = lambda leg, event: None  # type: ignore[method-assign]
+        silent_caller._handle_datagram = _receive_only_tokens(silent_caller)  # type: ignore[method-assign]
         for _ in range(5):
-            silent_caller.place(stage.offer(patience_ms=400.0))
+            silent_caller.place(stage.next_set_up(patience_ms=400.0))
         gevent.sleep(1.0)
         assert stage.counters()["iax2_half_open_dropped"] >= 3
-        stage.callers[0].place(stage.offer())
+        stage.callers[0].place(stage.next_set_up())
         gevent.sleep(0.6)
-        assert count(stage, What.STANDS) == 1
+        assert count(stage, EntryKind.ESTABLISHED) == 1
         silent_caller.close()
 
 
 def _receive_only_tokens(caller: Iax2Caller):  # type: ignore[no-untyped-def]
-    receive = caller._datagram
+    receive = caller._handle_datagram
 
     def filtered(data: bytes) -> None:
         if len(data) > 11 and data[10] == FrameType.IAX and data[11] == Iax.CALLTOKEN:
@@ -194,7 +196,7 @@
     new = encode_full(FullFrame(7, 0, 1, 0, 0, FrameType.IAX, Iax.NEW, Elements([
         (Element.VERSION, b"\x00\x02"), (Element.CALLED_NUMBER, b"123"), (Element.CALLTOKEN, b""),
     ]).encode()))  # fmt: skip
-    with running_stage(Stage(12, sip=(SHORT, SHORT), iax2=(SHORT, SHORT)), binary=1, iax2=2) as stage:
+    with running_stage(Testbed(12, sip=(SHORT, SHORT), iax2=(SHORT, SHORT)), binary=1, iax2=2) as stage:
         assert stage.process is not None
         before = _memory_mb(stage.process.pid)
         flood = subprocess.Popen(
@@ -209,7 +211,7 @@
             flood.kill()
         assert rate > 10_000, "the flood was too slow for a meaningful test"
         assert_settled(stage)
-        answered, offered = count(stage, What.STANDS), count(stage, What.OFFERED)
+        answered, offered = count(stage, EntryKind.ESTABLISHED), count(stage, EntryKind.OFFERED)
         assert answered >= 0.95 * offered, f"{answered} of {offered} at {rate:.0f} a second"
         assert _memory_mb(stage.process.pid) < before + 24
 
@@ -221,8 +223,8 @@
 
 def test_an_answer_under_another_leg_s_number_is_ignored() -> None:
     """A peer that knows the numbers of a leg can't send for it: the socket receives only from its server."""
-    with running_stage(Stage(13, sip=(), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
-        stage.callers[0].place(stage.offer(patience_ms=1_500.0))
+    with running_stage(Testbed(13, sip=(), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0) as stage:
+        stage.callers[0].place(stage.next_set_up(patience_ms=1_500.0))
         gevent.sleep(0.3)
         (leg,) = stage.iax2[0]._legs.values()
         description = Elements(split_description(b"forged")).encode()
@@ -234,12 +236,12 @@
         )
         stage.iax2[0]._sock.sendto(encode_full(wrong), leg.peer[0])
         assert_settled(stage)
-        assert count(stage, What.STANDS) == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 0
 
 
 def test_noise_on_a_trunk_breaks_no_call() -> None:
-    with running_stage(Stage(14, sip=(), iax2=(SHORT,))) as stage:
-        stage.callers[0].place(stage.offer())
+    with running_stage(Testbed(14, sip=(), iax2=(SHORT,))) as stage:
+        stage.callers[0].place(stage.next_set_up())
         gevent.sleep(0.3)
         random = Random(1)
         peer = next(iter(stage.iax2[0]._legs.values())).peer[0]
@@ -268,7 +270,7 @@
 
 @pytest.mark.parametrize("text", ["iax2: {", "iax2: listne: 1", "other: {}"])
 def test_a_file_that_can_not_be_used_is_one_plain_line(text: str) -> None:
-    stage = Stage(15, sip=(), iax2=())
+    stage = Testbed(15, sip=(), iax2=())
     stage.records = lambda: text  # type: ignore[method-assign]
     try:
         with pytest.raises(RuntimeError, match=r"pearloom: \S+pearloom\.cue:1: "):
@@ -280,9 +282,9 @@
 
 
 def test_an_answer_without_a_description_is_not_passed_on() -> None:
-    with running_stage(Stage(21, sip=(SHORT,), iax2=(SHORT,))) as stage:
-        stage.iax2[0].nameless = True
+    with running_stage(Testbed(21, sip=(SHORT,), iax2=(SHORT,))) as stage:
+        stage.iax2[0].omits_call_id = True
         place_with_first_choice(stage, 0, 1, patience_ms=4_000.0)
         gevent.sleep(1.0)
-        answers = [entry for entry in stage.journal.entries if entry.what is What.STANDS]
+        answers = [entry for entry in stage.journal.entries if entry.kind is EntryKind.ESTABLISHED]
         assert [entry.description[:10] for entry in answers] == [b"s-00000001"]
--- a/tests/iax2/test_failures.py
+++ b/tests/iax2/test_failures.py
@@ -7,9 +7,9 @@
 import gevent
 import pytest
 
-from pearloom.fakes.journal import What
-from pearloom.fakes.script import Faults, Manner
-from pearloom.fakes.stage import Stage
+from pearloom.fakes.journal import EntryKind
+from pearloom.fakes.script import Faults, ServerProfile
+from pearloom.fakes.testbed import Testbed
 from pearloom.iax2.frames import (
     FrameType,
     Iax,
@@ -19,65 +19,68 @@
 
 def test_a_peer_that_acknowledges_and_falls_silent_fails_the_call_in_time_and_gets_a_hangup() -> None:
     """The decision module lets the attempt run as long as the caller waits, as with a mute SIP server."""
-    with running_stage(Stage(3, sip=(SHORT,), iax2=(Manner(mutes=1.0),)), iax2=0) as stage:
+    with running_stage(
+        Testbed(3, sip=(SHORT,), iax2=(ServerProfile(unanswered_share=1.0),)), iax2=0
+    ) as stage:
         place_with_first_choice(stage, 0, 1, patience_ms=2_000.0)
         assert_settled(stage)
-        assert count(stage, What.FAILED) == 1
-        assert count(stage, What.SET_UP) == count(stage, What.WITHDRAWN, "s-00000011") == 1
+        assert count(stage, EntryKind.FAILED) == 1
+        assert count(stage, EntryKind.SET_UP) == count(stage, EntryKind.CANCELLED, "s-00000011") == 1
 
 
 def test_a_peer_that_never_acknowledges_is_given_up_and_the_call_goes_elsewhere() -> None:
-    with running_stage(Stage(3, sip=(SHORT,), iax2=(Manner(deaf=1.0),))) as stage:
+    with running_stage(Testbed(3, sip=(SHORT,), iax2=(ServerProfile(ignored_share=1.0),))) as stage:
         for caller in (0, 1):
             place_with_first_choice(stage, caller, 1, patience_ms=7_000.0)
         assert_settled(stage)
-        assert count(stage, What.STANDS) == 2 and count(stage, What.SET_UP, "s-00000001") == 2
+        assert count(stage, EntryKind.ESTABLISHED) == 2 and count(stage, EntryKind.SET_UP, "s-00000001") == 2
 
 
 def test_a_new_is_not_retransmitted_to_a_server_that_drained() -> None:
-    with running_stage(Stage(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
+    with running_stage(Testbed(4, sip=(SHORT,), iax2=(SHORT,)), iax2=0) as stage:
         server = stage.iax2[0]
-        server.deaf_to.add(Iax.NEW)  # the first one is lost
+        server.ignored_frames.add(Iax.NEW)  # the first one is lost
         place_with_first_choice(stage, 0, 1, patience_ms=6_000.0)
         gevent.sleep(0.05)
         stage.drain(server)
-        server.deaf_to.clear()
+        server.ignored_frames.clear()
         assert_settled(stage)
-        assert count(stage, What.SET_UP, server.server) == 0 and count(stage, What.STANDS) == 1
+        assert count(stage, EntryKind.SET_UP, server.server) == 0 and count(stage, EntryKind.ESTABLISHED) == 1
 
 
 def test_a_lost_acknowledgement_is_no_proof() -> None:
     """All frames from the server are lost: its set-up runs, and the call pauses before the next attempt."""
     with running_stage(
-        Stage(5, sip=(SHORT,), iax2=(Manner(holds_ms=400.0, after_ms=(5_000.0, 5_000.0)),)), iax2=0
+        Testbed(5, sip=(SHORT,), iax2=(ServerProfile(mean_hold_ms=400.0, delay_ms=(5_000.0, 5_000.0)),)),
+        iax2=0,
     ) as stage:
         server = stage.iax2[0]
         server._asks_token = False
-        server._out._faults = Faults(loses=1.0)
+        server._out._faults = Faults(loss_share=1.0)
         place_with_first_choice(stage, 0, 1, patience_ms=8_000.0)
         assert_settled(stage)
-        assert count(stage, What.SET_UP, server.server) == 1 and count(stage, What.STANDS) == 1
+        assert count(stage, EntryKind.SET_UP, server.server) == 1 and count(stage, EntryKind.ESTABLISHED) == 1
 
 
 def test_a_call_that_is_answered_after_the_caller_gave_up_is_released() -> None:
-    late = Manner(after_ms=(900.0, 900.0), holds_ms=60_000.0)
-    with running_stage(Stage(6, sip=(), iax2=(late,))) as stage:
+    late = ServerProfile(delay_ms=(900.0, 900.0), mean_hold_ms=60_000.0)
+    with running_stage(Testbed(6, sip=(), iax2=(late,))) as stage:
         for caller in stage.callers:
-            caller.place(stage.offer(patience_ms=880.0))
+            caller.place(stage.next_set_up(patience_ms=880.0))
         gevent.sleep(1.5)
         assert_settled(stage)
-        assert count(stage, What.STANDS) == 0 and stage.iax2[0].standing == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 0 and stage.iax2[0].established_calls == 0
 
 
 @pytest.mark.parametrize("failure", ["restarts", "ends", "vanishes"])
 def test_a_server_that_loses_its_calls_has_them_released_within_8_s(failure: str) -> None:
-    with running_stage(Stage(7, sip=(), iax2=(LONG,))) as stage:
+    with running_stage(Testbed(7, sip=(), iax2=(LONG,))) as stage:
         for number in range(40):
-            stage.callers[number % 2].place(stage.offer())
+            stage.callers[number % 2].place(stage.next_set_up())
         deadline_s = time.time() + 3.0  # how long the callers wait
-        while count(stage, What.STANDS) < 40 and time.time() < deadline_s:
+        while count(stage, EntryKind.ESTABLISHED) < 40 and time.time() < deadline_s:
             gevent.sleep(0.02)
-        assert count(stage, What.STANDS) == 40
+        assert count(stage, EntryKind.ESTABLISHED) == 40
         server = stage.iax2[0]
         server.die()
         if failure == "restarts":
@@ -86,42 +89,44 @@
             server.silent = True
             server.revive()
         start_s = time.time()
-        while count(stage, What.RELEASED) < 40:
+        while count(stage, EntryKind.RELEASED) < 40:
             assert time.time() - start_s < (
                 3.0 if failure == "ends" else 8.05
             ), "a closed port is reported at once"
             gevent.sleep(0.05)
-        assert not stage.report().broken
+        assert not stage.report().violations
 
 
 def test_established_calls_at_a_live_server_are_kept() -> None:
-    with running_stage(Stage(8, sip=(), iax2=(LONG,))) as stage:
+    with running_stage(Testbed(8, sip=(), iax2=(LONG,))) as stage:
         for caller in stage.callers:
-            caller.place(stage.offer())
+            caller.place(stage.next_set_up())
         gevent.sleep(9.0)
-        assert count(stage, What.STANDS) == 2 and count(stage, What.RELEASED) == 0
+        assert count(stage, EntryKind.ESTABLISHED) == 2 and count(stage, EntryKind.RELEASED) == 0
         assert stage.counters()["pings_out"] > 0
 
 
 def test_a_server_that_vanishes_with_a_set_up_out_delays_no_final_answer() -> None:
-    with running_stage(Stage(17, sip=(), iax2=(Manner(mutes=1.0),))) as stage:
+    with running_stage(Testbed(17, sip=(), iax2=(ServerProfile(unanswered_share=1.0),))) as stage:
         for caller in (0, 1):
             place_with_first_choice(stage, caller, 0, patience_ms=1_500.0)
         gevent.sleep(0.4)
-        assert count(stage, What.SET_UP) >= 1
+        assert count(stage, EntryKind.SET_UP) >= 1
         stage.iax2[0].silent = True
         gevent.sleep(1.5)
         report = stage.report(done=False)
-        assert not report.broken, report.broken
-        assert count(stage, What.FAILED) + count(stage, What.REFUSED) == 2 and not count(stage, What.GAVE_UP)
+        assert not report.violations, report.violations
+        assert count(stage, EntryKind.FAILED) + count(stage, EntryKind.REFUSED) == 2 and not count(
+            stage, EntryKind.GAVE_UP
+        )
 
 
 def test_no_second_attempt_while_lost_hangups_leave_the_first_running() -> None:
     """HANGUPs arrive 450 ms late: the next attempt waits for the confirmation, then for the pause."""
-    quick = Manner(after_ms=(5.0, 10.0), holds_ms=300.0, mutes=0.15)
-    with running_stage(Stage(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
+    quick = ServerProfile(delay_ms=(5.0, 10.0), mean_hold_ms=300.0, unanswered_share=0.15)
+    with running_stage(Testbed(18, sip=(SHORT,), iax2=(quick,)), binary=2, iax2=0) as stage:
         server, first_seen_s = stage.iax2[0], dict[object, float]()
-        receive = server._datagram
+        receive = server._handle_datagram
 
         def delay_hangups(data: bytes, source: tuple[str, int]) -> None:
             if len(data) > 11 and data[10] == FrameType.IAX and data[11] == Iax.HANGUP:
@@ -130,8 +135,8 @@
                     return
             receive(data, source)
 
-        server._datagram = delay_hangups  # type: ignore[method-assign]
+        server._handle_datagram = delay_hangups  # type: ignore[method-assign]
         stage.play(60, 6, leaves=0.0)
         assert_settled(stage)
-        retries = count(stage, What.SET_UP) - count(stage, What.OFFERED)
+        retries = count(stage, EntryKind.SET_UP) - count(stage, EntryKind.OFFERED)
         assert retries >= 2, "no attempt followed an uncertain one"
--- a/tests/rollout/test_judge.py
+++ b/tests/rollout/test_judge.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pearloom.core.outcomes import CallOutcome
-from pearloom.fakes.fleet.days import Day, false_halts, play_day
+from pearloom.fakes.fleet.days import Day, count_false_halts, simulate_day
 from pearloom.rollout.evidence import Evidence, Tally, stage_id
 from pearloom.rollout.judge import RATIOS, Stratum, judge, log_evidence, ratio_bounds
 
@@ -51,28 +51,28 @@
 
 def test_one_failure_in_twenty_calls_of_one_class_halts_with_the_class_named() -> None:
     day = Day(softswitches=12, inside=1, per_s=10.0, base=(0.002, 0.01, 0.001), worse=0.05, lasts_s=240)
-    result = play_day(day, seed=1)
+    result = simulate_day(day, seed=1)
     assert result.halted_s is not None and "failed of class" in result.why
 
 
 def test_failures_of_all_softswitches_alike_halt_nothing() -> None:
     """One call in 20 fails everywhere, during a surge that is stronger in one zone."""
     day = Day(softswitches=12, inside=1, per_s=10.0, base=(0.01, 0.02, 0.05), surge=0.3, lasts_s=240)
-    assert play_day(day, seed=2).halted_s is None
+    assert simulate_day(day, seed=2).halted_s is None
 
 
 def test_a_single_burst_at_the_stage_is_no_regression() -> None:
     """A connection with ten calls breaks at the only softswitch that has the new rules."""
     day = Day(softswitches=12, inside=1, per_s=10.0, base=(0.001, 0.001, 0.001), burst=10, lasts_s=120)
-    assert [play_day(day, seed).halted_s for seed in range(3, 8)] == [None] * 5
+    assert [simulate_day(day, seed).halted_s for seed in range(3, 8)] == [None] * 5
     many = Day(softswitches=12, inside=1, per_s=10.0, base=(0.001, 0.001, 0.001), burst=10, bursts=20,
                lasts_s=120)  # fmt: skip
-    assert play_day(many, seed=3).halted_s is not None, "but repeated bursts are a regression"
+    assert simulate_day(many, seed=3).halted_s is not None, "but repeated bursts are a regression"
 
 
 def test_false_halts_stay_under_the_stated_rate_when_judged_every_two_seconds() -> None:
     day = Day(softswitches=8, inside=1, per_s=8.0, base=(0.02, 0.05, 0.01), surge=0.3, lasts_s=40)
-    assert false_halts(day, 40, 0.05) <= 5
+    assert count_false_halts(day, 40, 0.05) <= 5
 
 
 def evidence_of(
@@ -102,4 +102,4 @@
 
 def test_a_seed_reproduces_its_day() -> None:
     day = Day(softswitches=4, inside=1, per_s=5.0, base=(0.02, 0.05, 0.01), lasts_s=20)
-    assert play_day(day, 5) == play_day(day, 5)
+    assert simulate_day(day, 5) == simulate_day(day, 5)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pearloom.admin.handover import request_handover
-from pearloom.fakes.stage import free_port
+from pearloom.fakes.testbed import free_port
 
 # `end_processes` is the autouse fixture that ends the processes of a test, also when it fails.
 from tests.test_program import BASE_CONFIG, await_line, end_processes, start  # noqa: F401
