--- a/pearloom/maintenance/settings.py
+++ b/pearloom/maintenance/settings.py
@@ -25,10 +25,10 @@
     number = fields.number
     limits = Limits(
         FORMAT,
-        edition=int(number("edition", 1, 1, 1_000_000, whole=True)),
-        out=int(number("out", defaults.out, 0, 1_000, whole=True)),
-        out_zone=int(number("out_zone", defaults.out_zone, 0, 1_000, whole=True)),
-        out_cell=int(number("out_cell", defaults.out_cell, 0, 1_000, whole=True)),
+        edition=int(number("edition", 1, 1, 1_000_000, is_integer=True)),
+        out=int(number("out", defaults.out, 0, 1_000, is_integer=True)),
+        out_zone=int(number("out_zone", defaults.out_zone, 0, 1_000, is_integer=True)),
+        out_cell=int(number("out_cell", defaults.out_cell, 0, 1_000, is_integer=True)),
         floor=float(number("floor", defaults.floor, 0, 1)),
         take_up_ms=float(number("take_up_ms", defaults.take_up_ms, 1_000, 600_000)),
         drain_ms=float(number("drain_ms", defaults.drain_ms, 1_000, 3_600_000)),
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -17,9 +17,9 @@
 from pearloom.binary import isup
 from pearloom.binary.isup import Cause, Code, Message, Type
 from pearloom.fakes.stage import free_port
-from tests.test_program import TOLD, await_line, ended, start
+from tests.test_program import BASE_CONFIG, await_line, end_processes, start
 
-__all__ = ["ended"]
+__all__ = ["end_processes"]
 CLOCK_TOLERANCE_MS = 200.0  # for a busy machine: the time is measured outside the program
 NAME = st.from_regex(r"[a-z][a-z0-9]{0,5}(-[a-z0-9]{1,5}){0,2}", fullmatch=True)
 
@@ -120,7 +120,7 @@
         ]  # fmt: skip
         address = ("127.0.0.1", free_port())
         known = {"index": 1, "updates": [{"index": 1, "endpoints": {"whole": True, "hosts": hosts}}]}
-        config = {**TOLD, "listen": "%s:%d" % address, "known": known, "settings": site.settings()}
+        config = {**BASE_CONFIG, "listen": "%s:%d" % address, "known": known, "settings": site.settings()}
         process = start(folder, config)
         stack.callback(process.wait)
         stack.callback(process.kill)
